--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,4 +1,4 @@
-"""Wheel against heap at 100,000 pending timers, as the engine uses them: most are taken back before they
+"""Timer wheel against timer heap at 100,000 pending timers, as the engine uses them: most are taken back before they
 are due."""
 
 from __future__ import annotations
@@ -6,12 +6,12 @@
 import random
 import time
 
-from swiftwell.gateway.wheel import Heap, Wheel
+from swiftwell.gateway.timer_wheel import TimerHeap, TimerWheel
 
 PENDING, ROUNDS = 100_000, 200_000
 
 
-def run(timers: Heap | Wheel) -> float:
+def run(timers: TimerHeap | TimerWheel) -> float:
     """Microseconds for one timer: set, and taken back (nine of ten) or come due."""
     chance = random.Random(1)
     now, live = 0, []
@@ -33,7 +33,7 @@
 
 
 if __name__ == "__main__":
-    heap, wheel = run(Heap()), run(Wheel(0))
+    heap, wheel = run(TimerHeap()), run(TimerWheel(0))
     print(
         f"pending {PENDING}: heap {heap:.2f} us, wheel {wheel:.2f} us a timer, wheel/heap {wheel / heap:.2f}"
     )
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -28,7 +28,7 @@
 from swiftwell.gateway.effects import Entry, Ledger, Record, Verdict
 from swiftwell.gateway.evidence import Evidence
 from swiftwell.gateway.orders import Order
-from swiftwell.gateway.wheel import Wheel
+from swiftwell.gateway.timer_wheel import TimerWheel
 from swiftwell.handover import snapshot
 from swiftwell.interface import Effect, Status
 
@@ -93,7 +93,7 @@
         self.list = Roster(told.routers)
         self._list_timer = 0
         self._list_at: int | None = None
-        self._wheel: Wheel | None = None
+        self._wheel: TimerWheel | None = None
         self._now = self._wall = 0
         self._out: list[ports.Output] = []
         self._calls: dict[str, Call] = {}
@@ -135,7 +135,7 @@
     def step(self, now_us: int, wall_us: int, inputs: Iterable[ports.Input] = ()) -> list[ports.Output]:
         """Take what happened, and what has come due; give what is to be done, in order."""
         if self._wheel is None:
-            self._wheel = Wheel(now_us)
+            self._wheel = TimerWheel(now_us)
         self._now, self._wall, self._out = max(now_us, self._now), wall_us, []
         if self._part_until and self._now >= self._part_until:
             self.divide_by(self._part_then)
@@ -793,7 +793,7 @@
 
     def start_at(self, now_us: int, wall_us: int) -> None:
         """The time at which calls are put in, before the first `step`."""
-        self._wheel, self._now, self._wall = Wheel(now_us), now_us, wall_us
+        self._wheel, self._now, self._wall = TimerWheel(now_us), now_us, wall_us
 
     def believe(self, books: snapshot.RouterBooks) -> None:
         """Start with what may be believed of the books of a process that was killed."""
--- a/swiftwell/gateway/wheel.py
+++ b/swiftwell/gateway/timer_wheel.py
@@ -12,7 +12,7 @@
 SLOTS = 4096  # slots of a turn: four seconds, longer than most deadlines, so few timers wait for a later turn
 
 
-class Heap:
+class TimerHeap:
     """Timers in a binary heap; cancelled ones are skipped when they come up."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         return self._heap[0][0] if self._heap else None
 
 
-class Wheel:
+class TimerWheel:
     """Timers in a ring of slots; those beyond one turn stay in their slot until their turn comes.
 
     Setting and cancelling take constant time.  `next_us` is rounded up to the end of a slot, so a timer comes
--- a/tests/test_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from swiftwell.gateway.wheel import SLOTS, TICK_US, Heap, Wheel
+from swiftwell.gateway.timer_wheel import SLOTS, TICK_US, TimerHeap, TimerWheel
 
 STEPS = st.lists(
     st.one_of(
@@ -17,7 +17,7 @@
 
 @given(STEPS)
 def test_wheel_and_heap_agree_to_a_tick(steps):
-    wheel, heap, now, count = Wheel(0), Heap(), 0, 0
+    wheel, heap, now, count = TimerWheel(0), TimerHeap(), 0, 0
     numbers = []
     for what, value in steps:
         if what == "add":
@@ -40,7 +40,7 @@
 
 
 def test_cancelled_timers_do_not_pile_up_in_the_heap():
-    heap = Heap()
+    heap = TimerHeap()
     for number in range(10_000):
         heap.cancel(heap.add(1_000_000 + number, number))
     assert len(heap._heap) < 200
