--- a/swiftwell/gateway/calls.py
+++ b/swiftwell/gateway/calls.py
@@ -59,7 +59,7 @@
                 worst = Ran.MAYBE
         return worst
 
-    def send_by_us(self) -> int:
+    def send_before_us(self) -> int:
         """Until when a further attempt may go out: while repeats are dropped; 0 where there is no bound."""
         if self.band.effect is not Effect.KEYED:
             return 0
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -255,11 +255,11 @@
             case ports.Gone():
                 self._gone(given.source)
             case ports.LedgerDown():
-                self._ledger_down(given.why)
+                self._ledger_down(given.reason)
             case ports.Stop():
                 self._stopping = True
-                if given.by_us:
-                    self._wheel.add(max(given.by_us, self._now + 1), self._answer_all)
+                if given.deadline_us:
+                    self._wheel.add(max(given.deadline_us, self._now + 1), self._answer_all)
 
     def _arrive(self, trigger: Trigger, at_us: int) -> None:
         self.counts["calls"] += 1
@@ -458,8 +458,8 @@
             self._settle(call, Answer(Kind.FAILED, tr.TOO_LARGE, worker=attempt.worker))
         elif call.streaming and not call.settled:
             self._settle(call, self._doubt(call))
-        note = min(end.found, 4) + 8 * min(end.crowd, 30)
-        report = (("rif", end.held),) if end.held >= 0 else ()
+        note = min(end.copy_state, 4) + 8 * min(end.function_calls_waiting, 30)
+        report = (("rif", end.worker_calls_held),) if end.worker_calls_held >= 0 else ()
         self._events.append(
             io.Outcome(
                 call.id, end.number, attempt.worker, end.status, end.latency_us, call.settled, note, report
@@ -710,7 +710,7 @@
         if number:
             self._log("info", "retry", request=call.trigger.key, number=number, worker=act.worker)
         until = min(act.until_us or call.deadline_us, call.deadline_us)
-        attempt, by_us = Attempt(act.worker, until_us=until, sent_us=self._now), call.send_by_us()
+        attempt, by_us = Attempt(act.worker, until_us=until, sent_us=self._now), call.send_before_us()
         attempt.timer = self._wheel.add(until, lambda: self._abandon(call, number, Status.TIMEOUT))
         call.attempts.append(attempt)
         self._at_work += 1
--- a/swiftwell/gateway/ports.py
+++ b/swiftwell/gateway/ports.py
@@ -1,6 +1,6 @@
-"""What goes into the engine and what comes out of it: its whole seam to the shell.
+"""The engine's inputs and outputs: its whole interface to the shell.
 
-Times are monotonic microseconds unless a name says `wall`.
+Times are monotonic microseconds unless a name contains `wall`.
 """
 
 from __future__ import annotations
@@ -13,23 +13,24 @@
 
 
 class Arrive(Struct, frozen=True):
-    """A front has taken a trigger; its time left counts from `at_us`, where that is told."""
+    """A front has received a trigger; its time left counts from `at_us`, or from now if that is 0."""
 
     trigger: Trigger
     at_us: int = 0
 
 
 class Gone(Struct, frozen=True):
-    """A front's peer is gone for good: its triggers can't be answered any more."""
+    """A front's peer has left for good: its triggers can no longer be answered."""
 
     source: str
 
 
 class AttemptEnd(Struct, frozen=True):
-    """How an attempt ended: each `Start` gets exactly one.
+    """The outcome of an attempt: each `Start` gets exactly one.
 
-    `ran` is what the socket proves; `found` 0 untold, 1 warm, 2 loaded, 3 waited, 4 the load failed; `crowd`
-    calls of the same function that stood there; `held` calls the worker held, -1 untold.
+    `ran`: what the socket proves.  `copy_state`: 0 not reported, 1 warm, 2 loaded, 3 waited for a load, 4 the
+    load failed.  `function_calls_waiting`: calls of the same function that were at the worker.
+    `worker_calls_held`: calls that the worker held, -1 if not reported.
     """
 
     id: str
@@ -38,14 +39,14 @@
     ran: Ran
     body: bytes = b""
     latency_us: int = 0
-    found: int = 0
-    crowd: int = 0
-    held: float = -1.0
+    copy_state: int = 0
+    function_calls_waiting: int = 0
+    worker_calls_held: float = -1.0
     draining: bool = False
     too_large: bool = False
-    started_us: int = 0  # the worker's own word of its start
-    answered: bool = False  # the worker said something, whatever it was
-    sent_us: int = 0  # when its bytes were handed over, where that is told
+    started_us: int = 0  # the worker's start, as it reports it
+    answered: bool = False  # the worker answered at all, whatever the answer
+    sent_us: int = 0  # when its bytes were handed to the kernel; 0 if not known
 
 
 class FirstByte(Struct, frozen=True):
@@ -56,7 +57,7 @@
 
 
 class OrderEnd(Struct, frozen=True):
-    """How an order to load (or a question) ended."""
+    """The outcome of a load order, or of a query (a load order with zero copies)."""
 
     number: int
     status: Status
@@ -65,25 +66,25 @@
     draining: bool = False
     started_us: int = 0
     answered: bool = False
-    sent_us: int = 0  # when its bytes were handed over, where that is told
+    sent_us: int = 0  # when its bytes were handed to the kernel; 0 if not known
 
 
 class WorkerConnected(Struct, frozen=True):
-    """A connection to a worker came up."""
+    """A connection to a worker was established."""
 
     worker: str
     at_us: int
 
 
 class WorkerDisconnected(Struct, frozen=True):
-    """A connection to a worker that had come up has ended."""
+    """An established connection to a worker was closed."""
 
     worker: str
     at_us: int
 
 
 class Copy(Struct, frozen=True):
-    """Another gateway knows of copies of a function at a worker."""
+    """Another gateway reports copies of a function at a worker."""
 
     worker: str
     function: str
@@ -91,20 +92,21 @@
 
 
 class Listed(Struct, frozen=True):
-    """A live list of workers, or a change to it."""
+    """A live worker list, or a change to it."""
 
     members: Members
 
 
 class Saved(Struct, frozen=True):
-    """A list from disk or from a peer; each entry with the age in us of its last word, None where it is
-    unknown."""
+    """A worker list from disk or from a peer; each entry with the age in us of its last report, None if
+    unknown.
+    """
 
     entries: tuple[tuple[WorkerEntry, int | None], ...]
 
 
 class Asked(Struct, frozen=True):
-    """How a question to a worker ended."""
+    """The outcome of a health probe (`Ask`)."""
 
     worker: str
     answered: bool
@@ -119,19 +121,19 @@
 
 
 class LedgerDown(Struct, frozen=True):
-    """The journal can't be written any more."""
+    """The journal can no longer be written."""
 
-    why: str
+    reason: str
 
 
 class Stop(Struct, frozen=True):
-    """The gateway is told to end: nothing new is taken.
+    """The gateway shuts down: no new call is accepted.
 
-    `by_us`: when every call that is still open gets its answer, whatever it waits for; 0 where each has all
-    of its own time.
+    `deadline_us`: when each call that is still open is answered, whatever its state; 0 if each keeps its own
+    deadline.
     """
 
-    by_us: int = 0
+    deadline_us: int = 0
 
 
 Input = (
@@ -152,9 +154,9 @@
 
 
 class Start(Struct, frozen=True):
-    """Send an attempt to a worker; its time left counts from `at_us`, where that is told.
+    """Send an attempt to a worker; its time left counts from `at_us`, or from now if that is 0.
 
-    `by_us`: it must not go out later, as its repeats are not dropped any more; 0 where it may.
+    `send_before_us`: it must not be sent later, as workers no longer drop its repeats; 0 without a limit.
     """
 
     id: str
@@ -164,11 +166,11 @@
     left_us: int
     streamed: bool = False
     at_us: int = 0
-    by_us: int = 0
+    send_before_us: int = 0
 
 
 class Abandon(Struct, frozen=True):
-    """Stop waiting for an attempt; its `AttemptEnd` says `status`, or that it was never sent."""
+    """Stop waiting for an attempt; its `AttemptEnd` has this status, or says that it was never sent."""
 
     id: str
     number: int
@@ -176,9 +178,9 @@
 
 
 class Withdraw(Struct, frozen=True):
-    """Nobody waits for a call any more: an attempt of which nothing was handed over yet is taken back.
+    """Nobody waits for the call any more: cancel an attempt of which no byte was sent yet.
 
-    Its `AttemptEnd` says that it never ran; one that was written is left as it is.
+    Its `AttemptEnd` then says that it never ran.  An attempt that was sent is left as it is.
     """
 
     id: str
@@ -186,13 +188,13 @@
 
 
 class Recall(Struct, frozen=True):
-    """An order has ended in the engine: it is not sent any more, and its answer means nothing."""
+    """The engine has closed a load order: it is no longer sent, and its answer is ignored."""
 
     number: int
 
 
 class Order(Struct, frozen=True):
-    """Order copies at a worker; `copies` 0 asks only."""
+    """Order a worker to load copies of a function; `copies` 0 only queries how many it has."""
 
     number: int
     worker: str
@@ -203,10 +205,10 @@
 
 
 class Ask(Struct, frozen=True):
-    """Ask a worker whether it is there; `Asked` follows."""
+    """Probe whether a worker is alive; `Asked` follows."""
 
     worker: str
-    within_us: int
+    timeout_us: int
 
 
 class Reply(Struct, frozen=True):
@@ -217,25 +219,25 @@
 
 
 class Accepted(Struct, frozen=True):
-    """The trigger is taken: for an unsafe class its intent is on disk.  Never after its `Reply`."""
+    """The trigger is accepted: for an unsafe class its intent is on disk.  Never after its `Reply`."""
 
     trigger: Trigger
 
 
 class Write(Struct, frozen=True):
-    """Make a ledger record durable; `Durable` tells when."""
+    """Make a ledger record durable; `Durable` confirms it."""
 
     record: Record
 
 
 class AskList(Struct, frozen=True):
-    """Ask discovery for changes, or stop asking."""
+    """Subscribe to changes from discovery, or stop."""
 
     on: bool
 
 
 class Line(Struct, frozen=True):
-    """A line for the log; `level` is a structlog level, `event` a word from docs/gateway.md."""
+    """A log line; `level` is a structlog level, `event` one of the events listed in docs/gateway.md."""
 
     level: str
     event: str
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -305,7 +305,7 @@
             self.world.after(self._wire_us(), end, answer)
 
         self.world.after(self._wire_us(), server.order, self.name, "-", 0, 0.0, 1, told)
-        self.world.after(out.within_us, end, None)
+        self.world.after(out.timeout_us, end, None)
 
     # What fronts use.
 
--- a/swiftwell/workers/link.py
+++ b/swiftwell/workers/link.py
@@ -226,7 +226,7 @@
         """Ask a worker whether it is there; any answer says so."""
         request = protocol.hold(self._gateway, act.worker, protocol.NO_FUNCTION, 0, 0.0, 1)
         now = time.monotonic()
-        self._begin(self._ask_job(act.worker, encode(request), now, now + act.within_us / 1e6))
+        self._begin(self._ask_job(act.worker, encode(request), now, now + act.timeout_us / 1e6))
 
     def _ask_job(self, worker: str, data: bytes, began: float, until: float) -> _Job:
         def ended(end: _End) -> None:
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -105,7 +105,7 @@
         def words(now_s: float) -> bytes:
             now_us = int(now_s * 1e6)
             left = until_us - now_us
-            if left <= 0 or (act.by_us and now_us >= act.by_us):
+            if left <= 0 or (act.send_before_us and now_us >= act.send_before_us):
                 return b""
             return codec.run(id_, trigger.band, trigger.function, left, trigger.payload, trigger.token)
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -99,7 +99,7 @@
             await play.ends()
             spent_ms = (time.monotonic() - began) * 1e3
             (end,) = play.told
-            assert (end.status, end.ran, end.found) == (Status.OK, Ran.YES, 1)
+            assert (end.status, end.ran, end.copy_state) == (Status.OK, Ran.YES, 1)
             assert end.body == b"did " + bytes(range(256))
             word, id_, told, body = worker.got[0]
             assert (word, id_, body) == (b"FN", ID.encode(), bytes(range(256)))
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -388,7 +388,7 @@
 
 
 def test_a_keyed_call_is_not_repeated_once_its_group_may_have_forgotten_it():
-    """The decision's own window; the hand-over asks for it once more (`Call.send_by_us`)."""
+    """The decision's own window; the hand-over asks for it once more (`Call.send_before_us`)."""
     short = replace(PLAIN, classes=(replace(KEYED, memory_us=200_000),))
     for spent_us, sends in ((150_000, 2), (250_000, 1)):
         bench = Bench(short, (entry("a", cell=1), entry("b", cell=1)))
