--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -53,7 +53,7 @@
         for _ in range(group):
             count += 1
             r = record(count)
-            values = (r.tenant, r.key, r.at_us, r.step.value, r.print_)
+            values = (r.tenant, r.key, r.at_us, r.step.value, r.request_digest)
             db.execute("insert or replace into keys values (?, ?, ?, ?, ?)", values)
         db.execute("commit")
     spent = time.perf_counter() - began
--- a/swiftwell/gateway/effects.py
+++ b/swiftwell/gateway/effects.py
@@ -31,7 +31,7 @@
 
     INTENT = "intent"  # it may run from here on
     DONE = "done"  # served, with the answer to give again
-    DOUBT = "doubt"  # failed: it may have run
+    MAY_HAVE_RUN = "doubt"  # failed: it may have run
     FREE = "free"  # refused: it is known not to have run, the key is as if never seen
 
 
@@ -42,7 +42,7 @@
     tenant: str
     key: str
     at_us: int
-    print_: bytes = b""
+    request_digest: bytes = b""
     body: bytes = b""
     worker: str = ""
     first_us: int = 0  # when the effect may have run first: workers' memory of a keyed call counts from then
@@ -53,10 +53,10 @@
 
     RUN = "run"  # it is the first: make the intent durable, then run
     JOIN = "join"  # it is running: share its answer
-    TOLD = "told"  # it was done: give the recorded answer
-    DOUBT = "doubt"  # it may have run: fail
+    ALREADY_DONE = "told"  # it was done: give the recorded answer
+    MAY_HAVE_RUN = "doubt"  # it may have run: fail
     CONFLICT = "conflict"  # the key stands for something else: refuse
-    SHUT = "shut"  # it is the first, and the ledger can take no intent: refuse
+    CLOSED = "shut"  # it is the first, and the ledger can take no intent: refuse
     NOT_NOW = "not now"  # it is the first, and may not run for another reason: refuse
 
 
@@ -66,7 +66,7 @@
 
     step: Step
     at_us: int
-    print_: bytes
+    request_digest: bytes
     body: bytes = b""
     worker: str = ""
     call: str = ""  # the running call, in this process
@@ -102,9 +102,9 @@
         self.bounds = bounds
         self._entries: OrderedDict[tuple[str, str], Entry] = OrderedDict()
         self._bytes = 0
-        self.shut_why = ""  # set while the journal can't be written
-        self.holes_until = 0  # wall time until which a key unknown here may yet have run
-        self.dropped = 0  # entries forgotten by age
+        self.closed_reason = ""  # set while the journal can't be written
+        self.gap_until = 0  # wall time until which a key unknown here may yet have run
+        self.evicted = 0  # entries forgotten by age
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -119,11 +119,11 @@
         now_us: int,
         tenant: str,
         key: str,
-        print_: bytes,
-        elsewhere: bool,
+        request_digest: bytes,
+        maybe_seen_elsewhere: bool,
         effect: Effect,
         call: str,
-        remembers_us: int,
+        dedup_window_us: int,
         may_run: bool = True,
     ) -> tuple[Verdict, str | Entry | None]:
         """Decide on a trigger; on RUN the key is claimed for `call`.
@@ -131,29 +131,29 @@
         `elsewhere`: another gateway may have been given it.  `remembers_us`: how long every worker drops
         repeats of a
         keyed class, 0 where only some do.  `may_run`: else it is only looked up.
-        Returns the verdict with the running call (JOIN), the entry (RUN, TOLD, DOUBT) or None.
+        Returns the verdict with the running call (JOIN), the entry (RUN, ALREADY_DONE, MAY_HAVE_RUN) or None.
         """
-        self.forget(now_us)
+        self.evict_expired(now_us)
         entry, first_us = self._entries.get((tenant, key)), now_us
         if entry is not None:
-            if entry.print_ and entry.print_ != print_:
+            if entry.request_digest and entry.request_digest != request_digest:
                 return Verdict.CONFLICT, None
             if entry.call:
                 return Verdict.JOIN, entry.call
             if entry.step is Step.DONE:
-                return Verdict.TOLD, entry
+                return Verdict.ALREADY_DONE, entry
             # A keyed class that every worker drops repeats of may run again while they all still remember.
-            if not (may_run and effect is Effect.KEYED and now_us < entry.first_us + remembers_us):
-                return Verdict.DOUBT, entry
+            if not (may_run and effect is Effect.KEYED and now_us < entry.first_us + dedup_window_us):
+                return Verdict.MAY_HAVE_RUN, entry
             first_us = entry.first_us
-        elif now_us < self.holes_until or elsewhere:
+        elif now_us < self.gap_until or maybe_seen_elsewhere:
             # Records were lost, or another gateway's ledger would know: it may have run.
-            return Verdict.DOUBT, None
+            return Verdict.MAY_HAVE_RUN, None
         if not may_run:
             return Verdict.NOT_NOW, None
-        if self.shut_why or self._full(key):
-            return Verdict.SHUT, None
-        claimed = Entry(Step.INTENT, now_us, print_, call=call, first_us=first_us)
+        if self.closed_reason or self._full(key):
+            return Verdict.CLOSED, None
+        claimed = Entry(Step.INTENT, now_us, request_digest, call=call, first_us=first_us)
         self._put((tenant, key), claimed)
         return Verdict.RUN, claimed
 
@@ -166,9 +166,9 @@
             # Only of a first run: a refused repeat of a keyed call leaves its earlier run in doubt.
             self._drop((tenant, key))
             return Record(Step.FREE, tenant, key, now_us)
-        step = Step.DONE if answer.kind is Kind.SERVED else Step.DOUBT
+        step = Step.DONE if answer.kind is Kind.SERVED else Step.MAY_HAVE_RUN
         body = answer.body if len(answer.body) <= MOST_BODY else b""
-        ended = Entry(step, now_us, entry.print_, body, answer.worker, "", entry.first_us)
+        ended = Entry(step, now_us, entry.request_digest, body, answer.worker, "", entry.first_us)
         self._put((tenant, key), ended)
         return self.record(tenant, key, ended)
 
@@ -176,7 +176,14 @@
     def record(tenant: str, key: str, entry: Entry) -> Record:
         """An entry as the journal holds it."""
         return Record(
-            entry.step, tenant, key, entry.at_us, entry.print_, entry.body, entry.worker, entry.first_us
+            entry.step,
+            tenant,
+            key,
+            entry.at_us,
+            entry.request_digest,
+            entry.body,
+            entry.worker,
+            entry.first_us,
         )
 
     def replay(self, record: Record) -> None:
@@ -188,11 +195,17 @@
             self._put(
                 key,
                 Entry(
-                    record.step, record.at_us, record.print_, record.body, record.worker, "", record.first_us
+                    record.step,
+                    record.at_us,
+                    record.request_digest,
+                    record.body,
+                    record.worker,
+                    "",
+                    record.first_us,
                 ),
             )
 
-    def run_again(self, tenant: str, key: str, call: str) -> None:
+    def reclaim(self, tenant: str, key: str, call: str) -> None:
         """A key that was replayed is claimed by a call that runs on in this process."""
         entry = self._entries.get((tenant, key))
         if entry is not None:
@@ -202,7 +215,7 @@
         """What a new journal must hold so that nothing is forgotten."""
         return [self.record(tenant, key, entry) for (tenant, key), entry in self._entries.items()]
 
-    def forget(self, now_us: int) -> None:
+    def evict_expired(self, now_us: int) -> None:
         """Drop what is older than the bound; running calls stay.
 
         Entries stand in the order of their last record; where the clock was set back an old entry behind a
@@ -218,7 +231,7 @@
                 self._entries.move_to_end(key)
                 continue
             self._drop(key)
-            self.dropped += 1
+            self.evicted += 1
 
     def _full(self, key: str) -> bool:
         # Room for the largest answer is set aside, or an effect could run whose answer finds no room.
@@ -229,7 +242,8 @@
 
     def _size(self, key: tuple[str, str], entry: Entry) -> int:
         reserve = MOST_BODY if entry.call else len(entry.body)
-        return len(key[0]) + len(key[1]) + len(entry.print_) + reserve + 100  # 100: the record around it
+        # 100 bytes: the overhead of the record.
+        return len(key[0]) + len(key[1]) + len(entry.request_digest) + reserve + 100
 
     def _put(self, key: tuple[str, str], entry: Entry) -> None:
         self._drop(key)
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -320,10 +320,10 @@
                 return what
             case Verdict.JOIN if isinstance(what, str):
                 self._join(self._calls[what], trigger)
-            case Verdict.TOLD if isinstance(what, Entry):
+            case Verdict.ALREADY_DONE if isinstance(what, Entry):
                 self.counts["told"] += 1
                 self._reply(trigger, Answer(Kind.SERVED, tr.OK, what.body, worker=what.worker))
-            case Verdict.DOUBT:
+            case Verdict.MAY_HAVE_RUN:
                 self._reply(trigger, Answer(Kind.FAILED, tr.MAY_HAVE_RUN))
             case Verdict.CONFLICT:
                 self._refuse(trigger, tr.KEY_REUSED)
@@ -596,7 +596,7 @@
 
     def _ledger_down(self, why: str) -> None:
         if self.ledger is not None:
-            self.ledger.shut_why = why
+            self.ledger.closed_reason = why
         self._log("error", "ledger-down", why=why)
         for call in list(self._awaiting.values()):
             self._give_up(call)
@@ -832,7 +832,7 @@
             self.observer.answered(call.band.name, call.trigger.tenant, in_time)
         if call.claimed and self.ledger is not None:
             record = self.ledger.settle(self._wall, call.trigger.tenant, call.trigger.key, answer)
-            if record is not None and not self.ledger.shut_why:
+            if record is not None and not self.ledger.closed_reason:
                 self._write(record)
         for waiter in waiters if waiters is not None else call.waiters:
             self._wheel.cancel(waiter.timer)
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -268,10 +268,10 @@
         records, damages = self.journal.open()
         for record in records:
             self.ledger.replay(record)
-        self.ledger.forget(self.clock.wall_us())
+        self.ledger.evict_expired(self.clock.wall_us())
         for damage in damages:
-            self.ledger.holes_until = max(
-                self.ledger.holes_until, damage.until_us + site.ledger.keep_s * 1_000_000
+            self.ledger.gap_until = max(
+                self.ledger.gap_until, damage.until_us + site.ledger.keep_s * 1_000_000
             )
             self.log("error", "ledger-damaged", file=damage.file, offset=damage.offset, bytes=damage.length)
         self.log(
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -371,7 +371,7 @@
     state.calls = [_call_out(gateway, call) for call in engine._calls.values()]
     state.ledger = ledger.records()
     state.running = [(t, k, e.call) for (t, k), e in ledger._entries.items() if e.call]
-    state.holes_until, state.shut_why = ledger.holes_until, ledger.shut_why
+    state.holes_until, state.shut_why = ledger.gap_until, ledger.closed_reason
     state.numbers, state.writes, state.counts = engine._numbers, engine._writes, dict(engine.counts)
     # A gateway that hands over asks no worker: each of its orders is for copies.
     state.orders = [
@@ -562,8 +562,8 @@
     for record in state.ledger:
         ledger.replay(record)
     for tenant, key, call in state.running:
-        ledger.run_again(tenant, key, call)
-    ledger.holes_until, ledger.shut_why = state.holes_until, state.shut_why
+        ledger.reclaim(tenant, key, call)
+    ledger.gap_until, ledger.closed_reason = state.holes_until, state.shut_why
     engine._numbers, engine._writes = state.numbers, state.writes
     engine.counts.update(state.counts)
     for known in state.roster.known:
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -22,32 +22,34 @@
     book,
     now,
     key="k",
-    print_=b"p",
-    elsewhere=False,
+    request_digest=b"p",
+    maybe_seen_elsewhere=False,
     effect=Effect.UNSAFE,
     call="c",
     remembers=0,
     may_run=True,
 ):
-    return book.claim(now, "t", key, print_, elsewhere, effect, call, remembers, may_run)[0]
+    return book.claim(now, "t", key, request_digest, maybe_seen_elsewhere, effect, call, remembers, may_run)[
+        0
+    ]
 
 
 def test_each_state_has_its_verdict():
     book = ledger()
     assert claim(book, 0) is Verdict.RUN and claim(book, 1) is Verdict.JOIN
     book.settle(2, "t", "k", SERVED)
-    assert claim(book, 3) is Verdict.TOLD
-    assert claim(book, 3, print_=b"q") is Verdict.CONFLICT
+    assert claim(book, 3) is Verdict.ALREADY_DONE
+    assert claim(book, 3, request_digest=b"q") is Verdict.CONFLICT
     claim(book, 3, "l")
     book.settle(4, "t", "l", FAILED)
-    assert claim(book, 5, "l") is Verdict.DOUBT
+    assert claim(book, 5, "l") is Verdict.MAY_HAVE_RUN
     claim(book, 5, "m")
     book.settle(6, "t", "m", REFUSED)
     assert claim(book, 7, "m") is Verdict.RUN
-    assert claim(book, 7, "n", elsewhere=True) is Verdict.DOUBT
+    assert claim(book, 7, "n", maybe_seen_elsewhere=True) is Verdict.MAY_HAVE_RUN
     assert claim(book, 7, "n", may_run=False) is Verdict.NOT_NOW
-    book.shut_why = "disk"
-    assert claim(book, 7, "n") is Verdict.SHUT and claim(book, 7, "k") is Verdict.TOLD
+    book.closed_reason = "disk"
+    assert claim(book, 7, "n") is Verdict.CLOSED and claim(book, 7, "k") is Verdict.ALREADY_DONE
 
 
 def test_tenants_do_not_share_keys():
@@ -63,7 +65,7 @@
     assert claim(book, 5_900_000, effect=Effect.KEYED, remembers=6_000_000) is Verdict.RUN
     book.settle(5_950_000, "t", "k", FAILED)
     # Counted from the first run, not from the last record.
-    assert claim(book, 6_000_000, effect=Effect.KEYED, remembers=6_000_000) is Verdict.DOUBT
+    assert claim(book, 6_000_000, effect=Effect.KEYED, remembers=6_000_000) is Verdict.MAY_HAVE_RUN
     assert claim(book, 6_000_000, "z", effect=Effect.KEYED, remembers=0) is Verdict.RUN
 
 
@@ -72,22 +74,22 @@
     claim(book, 0, effect=Effect.KEYED, remembers=6_000_000)
     book.settle(1, "t", "k", FAILED)
     claim(book, 2, effect=Effect.KEYED, remembers=6_000_000)
-    assert book.settle(3, "t", "k", REFUSED).step is Step.DOUBT
+    assert book.settle(3, "t", "k", REFUSED).step is Step.MAY_HAVE_RUN
 
 
 def test_entries_end_by_age_and_never_by_want_of_room():
     book = ledger(keep=1_000, entries=2)
     claim(book, 0, "a")
     claim(book, 0, "b")
-    assert claim(book, 1, "c") is Verdict.SHUT
+    assert claim(book, 1, "c") is Verdict.CLOSED
     book.settle(10, "t", "a", SERVED)
-    assert claim(book, 1_005, "c") is Verdict.SHUT  # a is young, b still runs
+    assert claim(book, 1_005, "c") is Verdict.CLOSED  # a is young, b still runs
     assert claim(book, 1_500, "c") is Verdict.RUN and claim(book, 1_500, "b") is Verdict.JOIN
 
 
 def test_room_for_the_largest_answer_is_set_aside():
     book = ledger(size=MOST_BODY + 1_000)
-    assert claim(book, 0, "a") is Verdict.RUN and claim(book, 0, "b") is Verdict.SHUT
+    assert claim(book, 0, "a") is Verdict.RUN and claim(book, 0, "b") is Verdict.CLOSED
     book.settle(1, "t", "a", SERVED)
     assert book.bytes < 300 and claim(book, 2, "b") is Verdict.RUN
 
@@ -96,23 +98,23 @@
     book = ledger()
     claim(book, 0)
     book.settle(1, "t", "k", Answer(Kind.SERVED, body=bytes(MOST_BODY + 1)))
-    assert claim(book, 2) is Verdict.TOLD and book.bytes < 300
+    assert claim(book, 2) is Verdict.ALREADY_DONE and book.bytes < 300
 
 
 def test_a_clock_set_back_by_an_hour_keeps_entries_longer():
     book = ledger(keep=60_000_000)
     claim(book, HOUR)
     book.settle(HOUR, "t", "k", SERVED)
-    assert claim(book, 0) is Verdict.TOLD and claim(book, HOUR + 59_000_000) is Verdict.TOLD
+    assert claim(book, 0) is Verdict.ALREADY_DONE and claim(book, HOUR + 59_000_000) is Verdict.ALREADY_DONE
     claim(book, 0, "old")
     book.settle(0, "t", "old", SERVED)
-    assert claim(book, HOUR + 59_000_000, "old") is Verdict.TOLD  # waits behind a younger one
+    assert claim(book, HOUR + 59_000_000, "old") is Verdict.ALREADY_DONE  # waits behind a younger one
 
 
 def test_lost_records_put_unknown_keys_in_doubt_until_they_would_be_forgotten():
     book = ledger()
-    book.holes_until = 1_000
-    assert claim(book, 500) is Verdict.DOUBT and claim(book, 1_001) is Verdict.RUN
+    book.gap_until = 1_000
+    assert claim(book, 500) is Verdict.MAY_HAVE_RUN and claim(book, 1_001) is Verdict.RUN
 
 
 # The journal.
