--- a/swiftwell/gateway/calls.py
+++ b/swiftwell/gateway/calls.py
@@ -1,4 +1,4 @@
-"""What the engine knows of a call: its attempts, and who waits for its answer.  No I/O."""
+"""The engine's record of a call: its attempts, and the triggers that wait for its answer.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """One trigger that waits for a call's answer."""
+    """A trigger that waits for a call's answer."""
 
     trigger: Trigger
     timer: int = 0
-    until_us: int = 0  # when its own time ends, where that is before the call's; 0 where it is not
+    deadline_us: int = 0  # its own deadline if that is before the call's, else 0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """What the engine knows of one attempt."""
+    """The engine's record of an attempt."""
 
     worker: str
-    out: bool = True
+    in_flight: bool = True  # no outcome yet
     ran: Ran = Ran.MAYBE
     timer: int = 0
-    until_us: int = 0
+    deadline_us: int = 0
     sent_us: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call from its trigger until nothing of it is outstanding."""
+    """A call, from its trigger until it has its final answer and no attempt in flight."""
 
     id: str
     trigger: Trigger
@@ -41,30 +41,30 @@
     claimed: bool
     waiters: list[Waiter] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    timer: int = 0  # the guard of its deadline
-    awaits: int = 0  # the number of the intent's write; 0 once the module may have the call
-    settled: bool = False  # the final answer stands; kept while attempts are out
+    timer: int = 0  # guards its deadline
+    pending_write: int = 0  # number of the write of its intent; 0 once that is durable or not needed
+    settled: bool = False  # it has its final answer; kept while attempts are in flight
     streaming: bool = False  # its answer has begun
-    doubted: bool = False  # an earlier call of its key may have run
-    orphan: bool = False  # the module will not answer it: the engine does, when its attempts have ended
-    blames: int = 0
+    may_have_run_before: bool = False  # an earlier call with its key may have run
+    orphan: bool = False  # the module will not answer it; the engine does once its attempts have ended
+    failures_involved: int = 0  # failures of the module while it handled this call
 
     def ran(self) -> Ran:
-        """What is known of the whole call."""
-        worst = Ran.NEVER
+        """Whether any attempt ran."""
+        result = Ran.NEVER
         for attempt in self.attempts:
             if attempt.ran is Ran.YES:
                 return Ran.YES
             if attempt.ran is Ran.MAYBE:
-                worst = Ran.MAYBE
-        return worst
+                result = Ran.MAYBE
+        return result
 
     def send_before_us(self) -> int:
-        """Until when a further attempt may go out: while repeats are dropped; 0 where there is no bound."""
+        """Until when a further attempt may be sent, as workers still drop repeats; 0 without a limit."""
         if self.band.effect is not Effect.KEYED:
             return 0
-        bound = next((attempt for attempt in self.attempts if attempt.ran is not Ran.NEVER), None)
-        return bound.sent_us + self.band.memory_us if bound else 0
+        first_sent = next((attempt for attempt in self.attempts if attempt.ran is not Ran.NEVER), None)
+        return first_sent.sent_us + self.band.memory_us if first_sent else 0
 
-    def out(self) -> bool:
-        return any(attempt.out for attempt in self.attempts)
+    def has_attempts_in_flight(self) -> bool:
+        return any(attempt.in_flight for attempt in self.attempts)
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -189,8 +189,8 @@
             call = self._calls.get(given.id)
             if call and isinstance(given, ports.AttemptEnd) and given.number < len(call.attempts):
                 attempt = call.attempts[given.number]
-                self._at_work -= attempt.out
-                attempt.out = False
+                self._at_work -= attempt.in_flight
+                attempt.in_flight = False
                 told = given.id, given.number, attempt.worker, Status.ERROR, 0, True, 0, ()
                 self._events.append(io.Outcome(*told))
         else:
@@ -288,8 +288,8 @@
         guard = call.deadline_us - GUARD_TICKS * self._settings.tick_us
         call.timer = self._wheel.add(guard, lambda: self._overdue(call))
         if intent:
-            call.awaits = self._write(self.ledger.record(trigger.tenant, trigger.key, intent))
-            self._awaiting[call.awaits] = call
+            call.pending_write = self._write(self.ledger.record(trigger.tenant, trigger.key, intent))
+            self._awaiting[call.pending_write] = call
         else:
             self._out.append(ports.Accepted(trigger))
             self._request(call)
@@ -316,7 +316,7 @@
         )
         match verdict:
             case Verdict.RUN if isinstance(what, Entry):
-                call.claimed, call.doubted = True, what.first_us < self._wall
+                call.claimed, call.may_have_run_before = True, what.first_us < self._wall
                 return what
             case Verdict.JOIN if isinstance(what, str):
                 self._join(self._calls[what], trigger)
@@ -338,7 +338,7 @@
             return self._reply(trigger, self._doubt(call))  # no refusal: it is running
         self.counts["joined"] += 1
         self._wait(call, trigger, trigger.left_us - self._margin)
-        if not call.awaits:
+        if not call.pending_write:
             self._out.append(ports.Accepted(trigger))
         return None
 
@@ -346,8 +346,8 @@
         """A trigger waits for a call; its own time may end before the call's does."""
         waiter = Waiter(trigger)
         if self._now + left_us < call.deadline_us:
-            waiter.until_us = self._now + left_us - GUARD_TICKS * self._settings.tick_us
-            waiter.timer = self._wheel.add(waiter.until_us, lambda: self._impatient(call, waiter))
+            waiter.deadline_us = self._now + left_us - GUARD_TICKS * self._settings.tick_us
+            waiter.timer = self._wheel.add(waiter.deadline_us, lambda: self._impatient(call, waiter))
         call.waiters.append(waiter)
         self._of.setdefault(trigger.source, {})[call.id] = None
 
@@ -361,7 +361,7 @@
 
     def _overdue(self, call: Call) -> None:
         """Rule 1 whatever the module does: the call's time is up."""
-        if not call.settled and not call.orphan and not call.awaits:
+        if not call.settled and not call.orphan and not call.pending_write:
             self._log("warning", "guard", call=call.id, function=call.trigger.function)
         self._give_up(call)
 
@@ -375,21 +375,21 @@
 
     def _harmless(self, call: Call) -> bool:
         """Whether a refusal may be given: a retry is harmless, as nothing of the call or of its key ran."""
-        return call.band.effect is Effect.SAFE or (call.ran() is Ran.NEVER and not call.doubted)
+        return call.band.effect is Effect.SAFE or (call.ran() is Ran.NEVER and not call.may_have_run_before)
 
     def _give_up(self, call: Call) -> None:
         """Answer a call without the module: a refusal only where nothing of it ran."""
         if call.settled:
             return
-        reason = tr.LEDGER if call.awaits else tr.NOT_RUN
+        reason = tr.LEDGER if call.pending_write else tr.NOT_RUN
         self._settle(call, Answer(Kind.REFUSED, reason) if self._harmless(call) else self._doubt(call))
         self._leave(call)
 
     def _leave(self, call: Call) -> None:
         """The module need not care for a call any more; the engine keeps it while attempts are out."""
-        if call.awaits:
-            self._awaiting.pop(call.awaits, None)
-            call.awaits = 0
+        if call.pending_write:
+            self._awaiting.pop(call.pending_write, None)
+            call.pending_write = 0
         elif not call.orphan:
             # A client whose bytes and whose end came in one turn: the module need not hear of it at all.
             unheard = [e for e in self._events if isinstance(e, io.Request) and e.id == call.id]
@@ -408,13 +408,13 @@
         late connection went to its worker up to the dial time later, and twice that where it moved on.
         """
         for number, attempt in enumerate(call.attempts):
-            if attempt.out:
+            if attempt.in_flight:
                 self._out.append(ports.Withdraw(call.id, number))
 
     def _durable(self, number: int) -> None:
         for key in [n for n in self._awaiting if n <= number]:
             call = self._awaiting.pop(key)
-            call.awaits = 0
+            call.pending_write = 0
             self._out.extend(ports.Accepted(waiter.trigger) for waiter in call.waiters)
             self._request(call)
 
@@ -431,11 +431,11 @@
 
     def _ended(self, end: ports.AttemptEnd) -> None:
         call = self._calls.get(end.id)
-        if call is None or end.number >= len(call.attempts) or not call.attempts[end.number].out:
+        if call is None or end.number >= len(call.attempts) or not call.attempts[end.number].in_flight:
             return
         attempt = call.attempts[end.number]
         self._wheel.cancel(attempt.timer)
-        attempt.out, attempt.ran = False, end.ran
+        attempt.in_flight, attempt.ran = False, end.ran
         self._at_work -= 1
         self.ends[f"attempt/{end.status.name.lower()}"] += 1
         if end.status is not Status.OK:
@@ -465,7 +465,7 @@
                 call.id, end.number, attempt.worker, end.status, end.latency_us, call.settled, note, report
             )
         )
-        if call.orphan and not call.out():
+        if call.orphan and not call.has_attempts_in_flight():
             self._give_up(call)  # nobody else would answer it before its deadline
         self._drop(call)
 
@@ -478,7 +478,7 @@
         for timer in (call.timer, attempt.timer, *(waiter.timer for waiter in call.waiters)):
             self._wheel.cancel(timer)
         number, call.streaming = first.number, True
-        attempt.until_us = end = self._now + STREAM_US
+        attempt.deadline_us = end = self._now + STREAM_US
         attempt.timer = self._wheel.add(end, lambda: self._abandon(call, number, Status.TIMEOUT))
         call.timer = self._wheel.add(end + STREAM_US, lambda: self._overdue(call))
         self._events.append(io.First(first.id, first.number, attempt.worker))
@@ -634,7 +634,7 @@
         salvaged = [act for act in self.router.actions if isinstance(act, (io.Send, io.SetTimer, io.Load))]
         concerned = [self._calls[e.id] for e in events if getattr(e, "id", None) in self._calls]
         for call in concerned:
-            call.blames += 1
+            call.failures_involved += 1
         for act in salvaged:
             self._act(act)
         if self._rebuilding:
@@ -645,7 +645,7 @@
         for call in concerned:
             if not call.settled:
                 call.orphan = True
-                if not call.out():
+                if not call.has_attempts_in_flight():
                     self._give_up(call)
         return []
 
@@ -671,11 +671,11 @@
                 worker.rest_until = old.workers[name].rest_until
         self._rebuilding = False
         for call in list(self._calls.values()):
-            if call.settled or call.awaits:
+            if call.settled or call.pending_write:
                 continue
-            if call.attempts or call.blames >= BLAMES:
+            if call.attempts or call.failures_involved >= BLAMES:
                 call.orphan = True
-                if not call.out():
+                if not call.has_attempts_in_flight():
                     self._give_up(call)
             else:
                 self._request(call)
@@ -710,7 +710,7 @@
         if number:
             self._log("info", "retry", request=call.trigger.key, number=number, worker=act.worker)
         until = min(act.until_us or call.deadline_us, call.deadline_us)
-        attempt, by_us = Attempt(act.worker, until_us=until, sent_us=self._now), call.send_before_us()
+        attempt, by_us = Attempt(act.worker, deadline_us=until, sent_us=self._now), call.send_before_us()
         attempt.timer = self._wheel.add(until, lambda: self._abandon(call, number, Status.TIMEOUT))
         call.attempts.append(attempt)
         self._at_work += 1
@@ -729,7 +729,7 @@
         )
 
     def _abandon(self, call: Call | None, number: int, status: Status) -> None:
-        if call and number < len(call.attempts) and call.attempts[number].out:
+        if call and number < len(call.attempts) and call.attempts[number].in_flight:
             self._out.append(ports.Abandon(call.id, number, status))
 
     def _final(self, act: io.Refuse | io.Fail) -> None:
@@ -808,13 +808,15 @@
             guard = call.deadline_us - GUARD_TICKS * self._settings.tick_us
             call.timer = wheel.add(guard, lambda call=call: self._overdue(call))
             for waiter in call.waiters:
-                if waiter.until_us:
-                    waiter.timer = wheel.add(waiter.until_us, lambda c=call, w=waiter: self._impatient(c, w))
+                if waiter.deadline_us:
+                    waiter.timer = wheel.add(
+                        waiter.deadline_us, lambda c=call, w=waiter: self._impatient(c, w)
+                    )
             for number, attempt in enumerate(call.attempts):
-                if attempt.out:
+                if attempt.in_flight:
                     self._at_work += 1
                     attempt.timer = wheel.add(
-                        attempt.until_us, lambda c=call, n=number: self._abandon(c, n, Status.TIMEOUT)
+                        attempt.deadline_us, lambda c=call, n=number: self._abandon(c, n, Status.TIMEOUT)
                     )
         for number, order in orders:
             self._ordered(number, order)
@@ -843,7 +845,7 @@
 
     def _drop(self, call: Call) -> None:
         """Forget a call once nothing of it is outstanding and nobody waits for it."""
-        if call.out() or (not call.settled and not call.orphan):
+        if call.has_attempts_in_flight() or (not call.settled and not call.orphan):
             return
         if not call.settled:  # its publisher left
             self._give_up(call)
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -496,13 +496,13 @@
         snapshot.band_out(call.band),
         call.deadline_us,
         call.claimed,
-        [(_trigger_out(w.trigger), w.until_us) for w in call.waiters],
-        [(a.worker, a.out, a.ran.value, a.until_us) for a in call.attempts],
+        [(_trigger_out(w.trigger), w.deadline_us) for w in call.waiters],
+        [(a.worker, a.in_flight, a.ran.value, a.deadline_us) for a in call.attempts],
         call.settled,
         call.streaming,
-        call.doubted,
+        call.may_have_run_before,
         call.orphan,
-        call.blames,
+        call.failures_involved,
     )
 
 
@@ -695,8 +695,8 @@
     band = engine._bands.get(one.trigger.values["band"]) or snapshot.band_in(one.band)
     call = Call(one.id, _trigger_in(one.trigger, peers, gateway), band, one.deadline_us, one.claimed)
     call.attempts = [Attempt(worker, out, Ran(ran), 0, until) for worker, out, ran, until in one.attempts]
-    call.settled, call.streaming, call.doubted = one.settled, one.streaming, one.doubted
-    call.orphan, call.blames = one.orphan, one.blames
+    call.settled, call.streaming, call.may_have_run_before = one.settled, one.streaming, one.doubted
+    call.orphan, call.failures_involved = one.orphan, one.blames
     for told, until in one.waiters:
         trigger = _trigger_in(told, peers, gateway)
         call.waiters.append(Waiter(trigger, 0, until))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -431,9 +431,9 @@
                 play.end(start, chance.choice([io.Status.OK, io.Status.FULL, io.Status.RESET]))
         play.out.clear()
         calls = play.engine._calls.values()
-        out = sum(attempt.out for call in calls for attempt in call.attempts)
+        out = sum(attempt.in_flight for call in calls for attempt in call.attempts)
         assert play.engine.load()[0] == out
-        assert play.engine.load()[1] == sum(not call.out() for call in calls)
+        assert play.engine.load()[1] == sum(not call.has_attempts_in_flight() for call in calls)
 
 
 def test_without_a_ledger_effects_rest_on_the_module_and_the_sockets():
