--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -60,7 +60,7 @@
 
 
 class Engine:
-    """One gateway's calls.  `told` goes to the module as it is; the rest is the engine's.
+    """One gateway's calls.  `settings` goes to the module as it is; the rest is the engine's.
 
     `margin_us`: time kept back from each trigger for the answer's way.  `max_open`: calls at a time.
     `ledger` None: no key outlives its call, where publishers name each try anew and no disk survives; what
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        told: io.Settings,
+        settings: io.Settings,
         ledger: Ledger | None,
         *,
         seed: int = 1,
@@ -78,26 +78,26 @@
         make: Callable[[io.Settings, int], Router] = Router,
         leases: WorkerLeases | None = None,
     ) -> None:
-        self._settings, self._seed, self._make, self._leases = told, seed, make, leases
+        self._settings, self._seed, self._make, self._leases = settings, seed, make, leases
         self._evidence: Evidence | None = None
         if leases is not None:  # what it emits comes ahead of what is decided by it
             self._evidence = Evidence(leases, lambda event: self._events.append(event), self._log)
         self.observer: Observer | None = None
         self._shed_us = 0  # how long the trigger at hand is sent away for
-        self._hidden: dict[str, frozenset[str]] = {}  # see `hide`
-        self._part_until = self._part_then = 0  # until when, and what then: see `divide_by`
+        self._hidden: dict[str, frozenset[str]] = {}  # see `set_visible_workers`
+        self._part_until = self._part_then = 0  # until when, and what then: see `set_budget_divisor`
         self._margin, self._max_open = margin_us, max_open
-        self._bands = {band.name: band for band in told.classes}
+        self._bands = {band.name: band for band in settings.classes}
         self.ledger = ledger
         self.router = self._made()
-        self.list = Roster(told.routers)
+        self.roster = Roster(settings.routers)
         self._list_timer = 0
         self._list_at: int | None = None
         self._wheel: TimerWheel | None = None
         self._now = self._wall = 0
         self._out: list[ports.Output] = []
         self._calls: dict[str, Call] = {}
-        self._of: dict[str, dict[str, None]] = {}  # source: its calls
+        self._calls_by_source: dict[str, dict[str, None]] = {}  # source: its calls
         self._awaiting: dict[int, Call] = {}  # number of a write: the call whose intent it is
         self._orders: dict[int, Order] = {}
         self._numbers = self._writes = self._faults = 0
@@ -106,7 +106,7 @@
         self._unconfirmed: set[str] = set()  # workers of books that a killed process left
         self._rebuilding = self._stopping = False
         self._events: list[io.Event] = []
-        self.ends: Counter[str] = Counter()  # of attempts, orders and questions, by how they ended
+        self.outcomes: Counter[str] = Counter()  # of attempts, orders and questions, by how they ended
         self.counts: dict[str, int] = dict.fromkeys(
             (
                 "calls",
@@ -138,7 +138,7 @@
             self._wheel = TimerWheel(now_us)
         self._now, self._wall, self._out = max(now_us, self._now), wall_us, []
         if self._part_until and self._now >= self._part_until:
-            self.divide_by(self._part_then)
+            self.set_budget_divisor(self._part_then)
         if self._evidence:
             self._evidence.advance(self._now)
         for given in inputs:
@@ -180,7 +180,7 @@
         """What a failed input owed: its trigger, or its call, gets a final answer that promises nothing."""
         if isinstance(given, ports.Arrive):
             trigger = given.trigger
-            of = self._of.get(trigger.source, ())
+            of = self._calls_by_source.get(trigger.source, ())
             call = next((self._calls[one] for one in of if self._calls[one].trigger is trigger), None)
             replied = any(isinstance(out, ports.Reply) and out.trigger is trigger for out in self._out)
             if call is None and not replied:
@@ -239,19 +239,19 @@
             case ports.Copy():
                 self._events.append(io.Loaded(given.worker, given.function, Status.OK, 0, given.copies))
             case ports.Listed():
-                told = self.list.listed(self._now, given.members)
+                told = self.roster.listed(self._now, given.members)
                 self._events.append(self._same(self._unhidden(told)))
                 self._confirm(given.members)
-                self._roster()
+                self._step_roster()
             case ports.Saved():
-                self._members(self.list.saved(self._now, given.entries))
-                self._roster()
+                self._members(self.roster.saved(self._now, given.entries))
+                self._step_roster()
             case ports.Asked():
-                told = self.list.asked(
+                told = self.roster.asked(
                     self._now, given.worker, given.draining, given.started_us, given.answered
                 )
                 self._members(told)
-                self._roster()
+                self._step_roster()
             case ports.Gone():
                 self._gone(given.source)
             case ports.LedgerDown():
@@ -349,7 +349,7 @@
             waiter.deadline_us = self._now + left_us - GUARD_TICKS * self._settings.tick_us
             waiter.timer = self._wheel.add(waiter.deadline_us, lambda: self._impatient(call, waiter))
         call.waiters.append(waiter)
-        self._of.setdefault(trigger.source, {})[call.id] = None
+        self._calls_by_source.setdefault(trigger.source, {})[call.id] = None
 
     def _impatient(self, call: Call, waiter: Waiter) -> None:
         """The time of a trigger that joined a call ends before the call's does."""
@@ -437,7 +437,7 @@
         self._wheel.cancel(attempt.timer)
         attempt.in_flight, attempt.ran = False, end.ran
         self._at_work -= 1
-        self.ends[f"attempt/{end.status.name.lower()}"] += 1
+        self.outcomes[f"attempt/{end.status.name.lower()}"] += 1
         if end.status is not Status.OK:
             self._log(
                 "info", "attempt-ended", request=call.trigger.key, number=end.number, worker=attempt.worker,
@@ -490,7 +490,7 @@
         worker, function, asked = order.worker, order.function, order.asks
         self._wheel.cancel(order.timer)
         self._word(worker, end)
-        self.ends[f"{'question' if asked else 'order'}/{end.status.name.lower()}"] += 1
+        self.outcomes[f"{'question' if asked else 'order'}/{end.status.name.lower()}"] += 1
         if self._evidence:
             self._evidence.order_ended(worker, end, asked, self._now)
         if end.status is not Status.OK:
@@ -504,7 +504,7 @@
         """The first whole list names which workers of believed books are still there; the others are
         forgotten."""
         if self._unconfirmed and members.how is io.ListKind.FULL:
-            gone = self._unconfirmed - self.list.known.keys()
+            gone = self._unconfirmed - self.roster.known.keys()
             entries = tuple(replace(self.router.workers[w].entry, state=io.State.GONE) for w in sorted(gone))
             self._events.append(io.Members(io.ListKind.DELTA, entries))
             self._unconfirmed = set()
@@ -529,7 +529,7 @@
         """What a worker says of itself corrects the list at once."""
         heard = end.answered or end.draining
         if heard or end.status is Status.CONNECT_FAILED:
-            self._members(self.list.said(self._now, worker, end.draining, end.started_us, heard))
+            self._members(self.roster.said(self._now, worker, end.draining, end.started_us, heard))
 
     def _members(self, told: io.Members | None) -> None:
         """Tell the module of workers."""
@@ -538,12 +538,12 @@
                 self._log("info", "worker", worker=entry.worker, state=entry.state.name.lower())
             self._events.append(self._same(self._unhidden(told)))
 
-    def hide(self, sites: dict[str, frozenset[str]]) -> None:
+    def set_visible_workers(self, sites: dict[str, frozenset[str]]) -> None:
         """Of these sites the module takes all ready workers for draining but those that are named."""
         was, self._hidden = self._hidden, sites
         entries = tuple(
             known.entry
-            for known in self.list.known.values()
+            for known in self.roster.known.values()
             if self._is_hidden(known.entry, was) is not self._is_hidden(known.entry, sites)
         )
         if entries:
@@ -565,12 +565,12 @@
         )
         return members._replace(entries=entries)
 
-    def _roster(self) -> None:
+    def _step_roster(self) -> None:
         """Ask the workers that the roster wants asked, and come back when it wants more."""
-        self._members(self.list.step(self._now))
-        for worker in self.list.asks(self._now):
+        self._members(self.roster.step(self._now))
+        for worker in self.roster.asks(self._now):
             self._out.append(ports.Ask(worker, trust.ANSWER_US))
-        at = self.list.next_us(self._now)
+        at = self.roster.next_us(self._now)
         if at is not None and (self._list_at is None or at < self._list_at):
             self._wheel.cancel(self._list_timer)
             self._list_at = at
@@ -578,12 +578,12 @@
 
     def _roster_due(self) -> None:
         self._list_at = None
-        self._roster()
+        self._step_roster()
 
     def _gone(self, source: str) -> None:
         """A publisher left: a call nobody waits for any more is the module's to end; its effect is still
         recorded."""
-        for number in list(self._of.pop(source, ())):
+        for number in list(self._calls_by_source.pop(source, ())):
             call = self._calls.get(number)
             if call is None:
                 continue
@@ -663,7 +663,7 @@
             self._wheel.cancel(order.timer)
             self._out.append(ports.Recall(number))
         self._orders.clear()
-        self._feed([io.Members(io.ListKind.FULL, tuple(self.list.entries()))])
+        self._feed([io.Members(io.ListKind.FULL, tuple(self.roster.entries()))])
         new.taken, new.orders, new.retries = old.taken, old.orders, old.retries
         for name, worker in new.workers.items():
             if name in old.workers:
@@ -761,11 +761,11 @@
             due = self._now + QUESTION_US
         elif self._settings.order_timeout_us:
             due = self._now + self._settings.order_timeout_us
-        self._ordered(number, Order(act.worker, act.function, act.copies, self._now, due))
+        self._track_order(number, Order(act.worker, act.function, act.copies, self._now, due))
         memory, lanes = (known.memory, known.lanes) if known else (0.0, 1)
         self._out.append(ports.Order(number, act.worker, act.function, act.copies, memory, lanes))
 
-    def _ordered(self, number: int, order: Order) -> None:
+    def _track_order(self, number: int, order: Order) -> None:
         if order.due_us:
             order.timer = self._wheel.add(order.due_us, lambda: self._order_silent(number))
         self._orders[number] = order
@@ -782,7 +782,7 @@
         """Intents that are not on disk yet."""
         return len(self._awaiting)
 
-    def divide_by(self, routers: int, until_us: int = 0, then: int = 0) -> None:
+    def set_budget_divisor(self, routers: int, until_us: int = 0, then: int = 0) -> None:
         """The fleet's budgets are divided by so many routers from now on, by `then` of them from `until_us`.
 
         That ends by itself: a process that stood still must not act by a part that has run out meanwhile.
@@ -795,7 +795,7 @@
         """The time at which calls are put in, before the first `step`."""
         self._wheel, self._now, self._wall = TimerWheel(now_us), now_us, wall_us
 
-    def believe(self, books: snapshot.RouterBooks) -> None:
+    def restore_router_state(self, books: snapshot.RouterBooks) -> None:
         """Start with what may be believed of the books of a process that was killed."""
         snapshot.put(self.router, books)
         self.router.seq = 0  # its first `handle` still sets the first timers
@@ -819,7 +819,7 @@
                         attempt.deadline_us, lambda c=call, n=number: self._abandon(c, n, Status.TIMEOUT)
                     )
         for number, order in orders:
-            self._ordered(number, order)
+            self._track_order(number, order)
         for token, (_, _, due) in self.router._timers.items():
             wheel.add(due, (self._books, token))
 
@@ -854,11 +854,11 @@
         self._calls.pop(call.id, None)
 
     def _forget_source(self, call: Call, waiter: Waiter) -> None:
-        calls = self._of.get(waiter.trigger.source)
+        calls = self._calls_by_source.get(waiter.trigger.source)
         if calls is not None:
             calls.pop(call.id, None)
             if not calls:
-                del self._of[waiter.trigger.source]
+                del self._calls_by_source[waiter.trigger.source]
 
     def _refuse(self, trigger: Trigger, reason: str) -> None:
         self._reply(trigger, Answer(Kind.REFUSED, reason, wait_us=self._shed_us if reason == tr.SHED else 0))
@@ -889,10 +889,10 @@
         "ledger": len(engine.ledger) if engine.ledger else 0,
         "ledger_bytes": engine.ledger.bytes if engine.ledger else 0,
         "timers": len(engine._wheel) if engine._wheel else 0,
-        "sources": len(engine._of),
+        "sources": len(engine._calls_by_source),
         "orders": len(engine._orders),
         "workers": len(router.workers),
         "functions": len(router.functions),
         "module_calls": len(router.calls),
-        **engine.list.sizes(),
+        **engine.roster.sizes(),
     }
--- a/swiftwell/gateway/event_loop.py
+++ b/swiftwell/gateway/event_loop.py
@@ -83,17 +83,17 @@
         inputs, self._inputs = self._inputs, []
         try:
             for out in self.engine.step(self.clock.now_us(), self.clock.wall_us(), inputs):
-                self._try(out)
-            self._stepped()
+                self._execute_guarded(out)
+            self._after_step()
         finally:  # else one failure would end all turns
             self._stepping = False
             if self._inputs:
                 self.wake()
             self._arm()
 
-    def _try(self, out: ports.Output) -> None:
+    def _execute_guarded(self, out: ports.Output) -> None:
         try:
-            self._carry(out)
+            self._execute(out)
         except Exception as error:  # one output's trouble is not the others'
             what = f"{type(error).__name__}: {error}"
             self.log("error", "output-failed", output=type(out).__name__, error=what)
@@ -103,7 +103,7 @@
             elif isinstance(out, ports.Order):
                 self.enqueue(ports.OrderEnd(out.number, io.Status.ERROR, 0))
 
-    def _stepped(self) -> None:
+    def _after_step(self) -> None:
         """After the outputs of a turn: what was gathered goes out."""
 
     def _arm(self) -> None:
@@ -125,7 +125,7 @@
         self._timer = None
         self._step()
 
-    def _carry(self, out: ports.Output) -> None:
+    def _execute(self, out: ports.Output) -> None:
         match out:
             case ports.Start():
                 self.link.start(out)
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -116,11 +116,11 @@
         self.ended = asyncio.Event()
         self._stopping = False
 
-    def _stepped(self) -> None:
+    def _after_step(self) -> None:
         if self.journal:
             self.journal.flush()
 
-    def _carry(self, out: ports.Output) -> None:
+    def _execute(self, out: ports.Output) -> None:
         if isinstance(out, ports.Write) and self.journal:
             self.journal.append(out.record)
         elif isinstance(out, ports.Order) and self.orders:
@@ -130,7 +130,7 @@
         elif isinstance(out, ports.Recall) and self.orders and self.orders.recall(out):
             pass  # it had not gone out
         else:
-            super()._carry(out)
+            super()._execute(out)
 
     def _from_workers(self, what: ports.Input) -> None:
         """What happened at a worker."""
@@ -155,7 +155,7 @@
         now = self.clock.now_us()
         if believed := self.books.load(now, self.clock.anchor_us):
             self.engine.start_at(now, self.clock.wall_us())
-            self.engine.believe(believed)
+            self.engine.restore_router_state(believed)
         self._go(fresh=True)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))  # the module sets its first timers
 
@@ -310,7 +310,9 @@
             )
             if workers.list.save:
                 folder = Path(self.site.state) / "list"
-                self.keeper = Keeper(folder, self.clock, self.engine.list, self.log, self._loop.add_callback)
+                self.keeper = Keeper(
+                    folder, self.clock, self.engine.roster, self.log, self._loop.add_callback
+                )
                 if fresh and (entries := self.keeper.load()):
                     told_saved(entries)
             if not (self.site.fleet and self.site.fleet.one_reader):
@@ -440,7 +442,7 @@
             if (divide, until) != before:
                 before = divide, until
                 ends = self.clock.now_us() + until - now if until else 0
-                self.engine.divide_by(divide, ends, routers(share.own))
+                self.engine.set_budget_divisor(divide, ends, routers(share.own))
                 self.log("debug", "fleet-part", routers=divide, at_us=self.clock.now_us(), until_us=ends)
 
         return look
@@ -496,7 +498,7 @@
         age_ms = max(0, int((time.monotonic() - self._service.heard_at) * 1e3))
         shown = [
             sources.instance(one.entry, self.clock.wall_of(one.entry.started_us))
-            for one in self.engine.list.known.values()
+            for one in self.engine.roster.known.values()
             if not one.left_us
         ]
         headers = {"x-consul-index": str(self._service.index), "x-swiftwell-age-ms": str(age_ms)}
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -398,11 +398,11 @@
         state.jobs.append(_job_out(job, add, "run", id=key[0], number=key[1]))
     for job, (kind, number) in gateway.link.others.items():
         state.jobs.append(_job_out(job, add, kind, number=number))
-    for known in engine.list.known.values():
+    for known in engine.roster.known.values():
         values = {one.name: getattr(known, one.name) for one in fields(Known) if one.name != "entry"}
         entry = {one.name: getattr(known.entry, one.name) for one in fields(io.WorkerEntry)}
         state.roster.known.append(values | {"entry": entry | {"state": known.entry.state.value}})
-    state.roster.live, state.roster.size_since = engine.list.live, engine.list.size_since
+    state.roster.live, state.roster.size_since = engine.roster.live, engine.roster.size_since
     state.router = snapshot.take(engine.router)
     if gateway._lock >= 0:
         state.lock = add(gateway._lock)
@@ -570,8 +570,8 @@
         raw = dict(known.pop("entry"))
         entry = io.WorkerEntry(**raw | {"state": WorkerState(raw["state"])})
         names = {one.name for one in fields(Known)}
-        engine.list.known[entry.worker] = Known(entry, **{k: v for k, v in known.items() if k in names})
-    engine.list.live, engine.list.size_since = state.roster.live, state.roster.size_since
+        engine.roster.known[entry.worker] = Known(entry, **{k: v for k, v in known.items() if k in names})
+    engine.roster.live, engine.roster.size_since = state.roster.live, state.roster.size_since
     gateway.build_fronts()
     peers: dict[tuple[str, str], Peer] = {}
     for one in state.peers:
@@ -700,7 +700,7 @@
     for told, until in one.waiters:
         trigger = _trigger_in(told, peers, gateway)
         call.waiters.append(Waiter(trigger, 0, until))
-        engine._of.setdefault(trigger.source, {})[call.id] = None
+        engine._calls_by_source.setdefault(trigger.source, {})[call.id] = None
         peer: Peer = trigger.ref.connection[0]  # type: ignore[attr-defined]
         peer.waits_again(trigger.ref)  # type: ignore[arg-type]
     engine._calls[call.id] = call
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -86,7 +86,7 @@
             at, books = self._books
             if believed := crash.believe(books, world.now - at, True):
                 self.engine.start_at(world.now, world.wall())
-                self.engine.believe(believed)
+                self.engine.restore_router_state(believed)
         world.note("ready", "runner", gw=self.name, port=self.port)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))
         self.list_now(self)
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -137,7 +137,7 @@
             state = worker.state.name.lower()
             self.log("info", "worker", worker=worker.id, state=state, by="list", event_number=event.number)
 
-    def _stepped(self) -> None:
+    def _after_step(self) -> None:
         self.front.flush()
         if not self._looking:
             self._hand_over(LOOK_ITERATIONS if self._unseen_s() > 0 else 0)
@@ -246,7 +246,7 @@
             descriptors=_descriptors(), clients=len(front.connections),
             replies=kinds, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
             link=dict(self.link.counts), sizes=tables(self.engine) | self.link.sizes(),
-            counts=dict(self.engine.counts), ends=dict(self.engine.ends),
+            counts=dict(self.engine.counts), ends=dict(self.engine.outcomes),
             held=self.journal.feed.held, asked=self.journal.connections, list=self._list_figures(),
         )  # fmt: skip
 
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/watch.py
@@ -72,7 +72,7 @@
         self.desk.admission.ended(in_time)
 
     def _site(self, worker: str) -> str:
-        known = self._engine.list.known.get(worker)
+        known = self._engine.roster.known.get(worker)
         return known.entry.zone if known else ""
 
     def asked(self, end: ports.Asked) -> bool:
@@ -92,7 +92,7 @@
     def _look(self) -> None:
         node, now = self._link.node, self._link.now_us()
         workers: dict[str, list[str]] = {}
-        for name, known in self._engine.list.known.items():
+        for name, known in self._engine.roster.known.items():
             if not known.left_us and known.entry.state is State.READY:
                 workers.setdefault(known.entry.zone, []).append(name)
         sites = self.desk.judge.sites
@@ -127,7 +127,7 @@
             self._ask(ports.Ask(worker, PROBE_US))
         if out.hidden != self._hidden:
             self._hidden = out.hidden
-            self._engine.hide(out.hidden)
+            self._engine.set_visible_workers(out.hidden)
 
     def _board(self, site: str, now: int) -> tuple[Word | None, int | None, int]:
         board = self._link.node.boards[BOARD + site]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -245,7 +245,7 @@
             await until(lambda: node.engine._wheel)
             node.engine._now = node.clock.now_us()
             order = Order("s-00000001", KEY, 1, node.engine._now, node.engine._now + 10_000)
-            node.engine._ordered(9, order)
+            node.engine._track_order(9, order)
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: not node.engine._orders)
             await until(lambda: not node.link._orders)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -135,7 +135,7 @@
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
-    play.engine.believe(believed)
+    play.engine.restore_router_state(believed)
     start = two.started_us(wall_ms)
     workers = old.engine.router.workers.values()
     # A saved list first, whose starts went through other readings of the clocks, then the live one.
@@ -154,7 +154,7 @@
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
-    play.engine.believe(crash.believe(snapshot.take(old.engine.router), 1_000_000, True))
+    play.engine.restore_router_state(crash.believe(snapshot.take(old.engine.router), 1_000_000, True))
     assert not only(play.call(function="f1"), ports.Start)
     entries = tuple(w.entry for w in old.engine.router.workers.values())[:4]
     play.do(ports.Listed(io.Members(io.ListKind.FULL, entries)))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -252,7 +252,7 @@
                 front.done.clear()
             await until(lambda: node.engine.open == 0)
             sizes = node.link.sizes()
-            assert sizes["worker_jobs"] == 0 and not node.front.ids and not node.engine._of
+            assert sizes["worker_jobs"] == 0 and not node.front.ids and not node.engine._calls_by_source
 
     run(main())
 
