--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -46,15 +46,15 @@
 class Observer(Protocol):
     """Who looks on at calls, and may turn triggers away ahead of the module (sites/watch)."""
 
-    def admits(self, trigger: Trigger) -> int:
+    def reject_for_us(self, trigger: Trigger) -> int:
         """0 to take it, else for how many us its publisher is sent away."""
         ...
 
-    def attempt(self, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def on_attempt_end(self, worker: str, band: str, status: Status, latency_us: int) -> None:
         """How an attempt ended."""
         ...
 
-    def answered(self, band: str, tenant: str, in_time: bool) -> None:
+    def on_answer(self, band: str, tenant: str, in_time: bool) -> None:
         """A call that was taken has its answer."""
         ...
 
@@ -269,7 +269,7 @@
             return self._refuse(trigger, tr.UNKNOWN_CLASS)
         barred = trigger.rejection or (tr.NO_TIME if left <= 0 else tr.STOPPING if self._stopping else "")
         self._shed_us = 0
-        if not barred and self.observer and (wait_us := self.observer.admits(trigger)):
+        if not barred and self.observer and (wait_us := self.observer.reject_for_us(trigger)):
             barred, self._shed_us = tr.SHED, wait_us
         self._numbers += 1
         call = Call(f"c{self._numbers}", trigger, band, self._now + left, False)
@@ -444,7 +444,7 @@
                 how=end.status.name.lower(), ran=end.ran.name.lower(), ms=end.latency_us // 1_000,
             )  # fmt: skip
         if self.observer:
-            self.observer.attempt(attempt.worker, call.band.name, end.status, end.latency_us)
+            self.observer.on_attempt_end(attempt.worker, call.band.name, end.status, end.latency_us)
         if (end.ran is Ran.NEVER) != (end.status in io.NEVER_RAN):
             raise AssertionError(f"{end.status!r} does not agree with {end.ran!r}")
         self._word(attempt.worker, end)
@@ -831,7 +831,7 @@
         if self.observer:
             spent = self._now - (call.deadline_us - call.trigger.left_us + self._margin)
             in_time = answer.kind is Kind.SERVED and spent <= call.band.target_us
-            self.observer.answered(call.band.name, call.trigger.tenant, in_time)
+            self.observer.on_answer(call.band.name, call.trigger.tenant, in_time)
         if call.claimed and self.ledger is not None:
             record = self.ledger.settle(self._wall, call.trigger.tenant, call.trigger.key, answer)
             if record is not None and not self.ledger.closed_reason:
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/watch.py
@@ -56,18 +56,18 @@
 
     # The engine's observer.
 
-    def admits(self, trigger: Trigger) -> int:
+    def reject_for_us(self, trigger: Trigger) -> int:
         """Turn a trigger away where the order of sacrifice says so."""
         key = trigger.key or f"{trigger.source}/{trigger.function}"
         if self.desk.admission.admits(trigger.band, trigger.tenant, key):
             return 0
         return self.desk.admission.wait_ms(key) * 1_000
 
-    def attempt(self, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def on_attempt_end(self, worker: str, band: str, status: Status, latency_us: int) -> None:
         """An attempt has ended."""
         self.desk.attempt(self._site(worker), worker, band, status, latency_us)
 
-    def answered(self, band: str, tenant: str, in_time: bool) -> None:
+    def on_answer(self, band: str, tenant: str, in_time: bool) -> None:
         """A call that was taken has its answer."""
         self.desk.admission.ended(in_time)
 
