--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -47,7 +47,7 @@
 WINDOW = 128  # calls of one process without an answer, where it publishes as fast as it can
 
 
-async def load(front: str, port: int, rate: float, seconds: float, band: str, tag: str) -> None:
+async def load(front: str, port: int, rate: float, seconds: float, request_class: str, tag: str) -> None:
     """One publishing process: open loop at a rate, or a window of calls where the rate is 0."""
     latencies: list[float] = []
     sent: dict[str, float] = {}
@@ -73,7 +73,7 @@
         count += 1
         corr = f"{tag}-{count}"
         sent[corr] = due if rate else time.perf_counter()
-        publish(band, f"f{int(60 ** chance.random()) - 1}", corr)
+        publish(request_class, f"f{int(60 ** chance.random()) - 1}", corr)
     spent = time.perf_counter() - began
     for _ in range(200):
         if not sent:
@@ -92,10 +92,10 @@
     await client.connect("127.0.0.1", port)
     await client.subscribe(reply)
 
-    def publish(band: str, function: str, corr: str) -> None:
+    def publish(request_class: str, function: str, corr: str) -> None:
         user = [("key", corr), ("timeout-ms", "4500"), ("sent-ms", f"{time.time() * 1e3:.3f}")]
         properties = {"response_topic": reply, "correlation_data": corr.encode(), "user": user}
-        client.publish(Publish(f"calls/t/{band}/{function}", b"x" * 100, 1, properties=properties))
+        client.publish(Publish(f"calls/t/{request_class}/{function}", b"x" * 100, 1, properties=properties))
 
     return publish
 
@@ -108,9 +108,9 @@
     await client.connect("127.0.0.1", port)
     await client.reply_queue(reply)
 
-    def publish(band: str, function: str, corr: str) -> None:
+    def publish(request_class: str, function: str, corr: str) -> None:
         properties = amqp.trigger(corr, reply, corr, 4_500)
-        client.publish("calls", f"calls.t.{band}.{function}", properties, b"x" * 100)
+        client.publish("calls", f"calls.t.{request_class}.{function}", properties, b"x" * 100)
 
     return publish
 
@@ -170,10 +170,10 @@
     await heard(gateway)
     await asyncio.sleep(1.0)
     process = psutil.Process(gateway.pid)
-    for number, (name, rate, band) in enumerate([("warm", 100, "lectura"), *LOADS]):
+    for number, (name, rate, request_class) in enumerate([("warm", 100, "lectura"), *LOADS]):
         seconds = args.seconds if number else 2
         before = sum(process.cpu_times()[:2])
-        words = [str(rate / 2), str(seconds), band]
+        words = [str(rate / 2), str(seconds), request_class]
         crowd = [
             await spawn("benchmarks.fronts", "load", front, str(port), *words, f"{turn}-{number}-{n}")
             for n, port in enumerate(ports)
@@ -204,8 +204,10 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["load"]:
-        front, port, rate, seconds, band, tag = sys.argv[2:]
-        asyncio.run(load(front, int(port), float(rate), float(seconds), band, tag + str(os.getpid())))
+        front, port, rate, seconds, request_class, tag = sys.argv[2:]
+        asyncio.run(
+            load(front, int(port), float(rate), float(seconds), request_class, tag + str(os.getpid()))
+        )
     else:
         parser = argparse.ArgumentParser()
         parser.add_argument("--seconds", type=float, default=8)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -101,7 +101,9 @@
         profiler.dump_stats(profile)
 
 
-async def load(port: int, rate: float, seconds: float, clients: int, band: str, functions: int) -> dict:
+async def load(
+    port: int, rate: float, seconds: float, clients: int, request_class: str, functions: int
+) -> dict:
     """Open loop at a rate (0: as fast as a window of calls allows); latencies in ms."""
     latencies: list[float] = []
     sent: dict[bytes, float] = {}
@@ -133,7 +135,7 @@
         properties = {"response_topic": "a", "correlation_data": corr, "user": [("key", f"{began}-{count}")]}
         sent[corr] = due if rate else time.perf_counter()  # from when it was due: no coordinated omission
         crowd[count % clients].publish(
-            Publish(f"calls/t/{band}/{function}", b"x" * 100, 1, properties=properties)
+            Publish(f"calls/t/{request_class}/{function}", b"x" * 100, 1, properties=properties)
         )
     spent = time.perf_counter() - began
     for _ in range(200):
@@ -188,8 +190,10 @@
                     assert process.stdout
                     told = json.loads(await process.stdout.readline())
                     await load(told["port"], 100, 2, 8, "lectura", args.functions)  # warm
-                    for name, rate, band in LOADS:
-                        found = await load(told["port"], rate, args.seconds, 16, band, args.functions)
+                    for name, rate, request_class in LOADS:
+                        found = await load(
+                            told["port"], rate, args.seconds, 16, request_class, args.functions
+                        )
                         results.setdefault((choice, name), []).append(found)
                         print(
                             choice,
--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -63,9 +63,13 @@
         self.takers |= {io.Restarted: self._restarted, io.ListState: self._list_state}
         self.retries = rec.Budget(RETRY_BURST, RETRY_BURST)
         self.orders_left = rec.Budget(MOST_ORDERS, 1.0)
-        self.latency = FIRST_LATENCY * min((band.target_us for band in settings.classes), default=1_000_000)
+        self.latency = FIRST_LATENCY * min(
+            (request_class.target_us for request_class in settings.classes), default=1_000_000
+        )
         self.traffic, self.served = rec.Rate(RATE_US), rec.Rate(RATE_US)
-        self.usual = {band.name: FIRST_LATENCY * band.target_us for band in settings.classes}
+        self.usual = {
+            request_class.name: FIRST_LATENCY * request_class.target_us for request_class in settings.classes
+        }
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
         self.now, self.actions = now, []
@@ -126,7 +130,10 @@
                 worker.identified = True
 
     def _request(self, request: io.Request) -> None:
-        band, function = self.bands[request.band], self.functions.get(request.function)
+        request_class, function = (
+            self.request_classes[request.request_class],
+            self.functions.get(request.function),
+        )
         if function is None:
             name, load = request.function, request.load_us or LOAD_US
             function = rec.Function(name, rec.stable_hash(name), load, rec.Rate(RATE_US))
@@ -137,8 +144,11 @@
         self.retries.earn(RETRY_SHARE)
         self.orders_left.earn(ORDERS)
         self.taken.add(self.now)
-        kinds = f"class {band.name}", f"tenant {request.tenant}"  # what a worker may tell calls apart by
-        call = rec.Call(request, band, function, self.seq, self.now, kinds)
+        kinds = (
+            f"class {request_class.name}",
+            f"tenant {request.tenant}",
+        )  # what a worker may tell calls apart by
+        call = rec.Call(request, request_class, function, self.seq, self.now, kinds)
         self.calls[request.id] = call
         # Two ticks early: timers land on the next tick, and the answer must precede the deadline.
         self._after(request.left_us - 2 * self.told.tick_us, self._finish, call)
@@ -155,15 +165,15 @@
 
     def _usual(self, call: rec.Call) -> float:
         """The usual time of the call's class; at most half of what is wanted, so that a slow fleet serves."""
-        return min(self.usual[call.band.name], call.band.target_us / 2)
+        return min(self.usual[call.request_class.name], call.request_class.target_us / 2)
 
     def _in_time(self, call: rec.Call) -> bool:
         """Whether a held call, sent now, would most likely be answered within its wanted time.
 
         A repeat's wanted time began with its first try, so a fleet slow as a whole serves first tries first.
         """
-        wanted, least = call.band.target_us, self._usual(call)
-        usual, waited = self.usual[call.band.name], self.now - call.arrived
+        wanted, least = call.request_class.target_us, self._usual(call)
+        usual, waited = self.usual[call.request_class.name], self.now - call.arrived
         if call.request.repeated:
             usual += REPEAT_SPENT * wanted
         else:
@@ -362,17 +372,17 @@
     def _may_send(self, call: rec.Call, worker: rec.Worker) -> bool:
         """Rule 2: where this call may go, given what its earlier attempts may have done."""
         bound = call.bound()
-        if bound is None or call.band.effect is Effect.SAFE:
+        if bound is None or call.request_class.effect is Effect.SAFE:
             return True
-        if call.band.effect is Effect.UNSAFE or worker.group(call.band) != bound.group:
+        if call.request_class.effect is Effect.UNSAFE or worker.group(call.request_class) != bound.group:
             return False
-        return self.now < bound.sent + call.band.memory_us - 2 * self.told.tick_us
+        return self.now < bound.sent + call.request_class.memory_us - 2 * self.told.tick_us
 
     def _send(self, call: rec.Call, worker: rec.Worker, cold: bool) -> None:
         function = call.function
         call.held = False
         attempt = rec.Attempt(call, len(call.attempts), worker, self.now, cold)
-        attempt.group = worker.group(call.band)
+        attempt.group = worker.group(call.request_class)
         worker.turns.used += self.now < worker.warm_at
         call.attempts.append(attempt)
         worker.begin(function.name, self.now)
@@ -440,14 +450,14 @@
 
     def _timed(self, attempt: rec.Attempt, latency: int) -> None:
         """Learn from how long an answer took: the class's time, the worker's pace and its cap."""
-        worker, band = attempt.worker, attempt.call.band
+        worker, request_class = attempt.worker, attempt.call.request_class
         if attempt.sent < self.woke:
             return
-        usual = self.usual[band.name]
-        self.usual[band.name] += LEARN * (min(latency, 2 * LATE * usual) - usual)
+        usual = self.usual[request_class.name]
+        self.usual[request_class.name] += LEARN * (min(latency, 2 * LATE * usual) - usual)
         self._strain(worker, min(latency / usual, 2 * LATE))
         self.latency += LEARN * (min(latency, LATE * self.latency) - self.latency)
-        step = CAP_STEP * max(-2.0, 1 - latency / (CAP_AIM * band.target_us))
+        step = CAP_STEP * max(-2.0, 1 - latency / (CAP_AIM * request_class.target_us))
         if step < 0 or worker.inflight + 2 > worker.cap:  # only a cap in use grows
             worker.cap = min(MOST_CAP, max(1.0, worker.cap + step))
 
@@ -467,7 +477,7 @@
         Also after 'full': where all workers are, each pass takes work and may begin a load.  A 'miss' is free
         where the design asks for an order and a resend.  May hurt where few of many workers turn much away.
         """
-        barred = call.bound() is not None and call.band.effect is Effect.UNSAFE
+        barred = call.bound() is not None and call.request_class.effect is Effect.UNSAFE
         spent = len(call.attempts) >= self.told.max_attempts
         free = self.told.misses and status is Status.MISS
         if barred or spent or not (free or self.retries.spend(1)):
@@ -486,7 +496,7 @@
         if not attempt.cold and not overtaken:
             attempt.before = attempt.before or (self._pace(attempt.worker), attempt.worker.cap)
             self._timed(attempt, self.now - attempt.sent)
-        if call.held or call.band.effect is Effect.UNSAFE or len(call.attempts) >= told.max_attempts:
+        if call.held or call.request_class.effect is Effect.UNSAFE or len(call.attempts) >= told.max_attempts:
             return
         lost = overtaken and self.now - attempt.sent >= 2 * LATE * self._usual(call)
         if not lost and not self._suspect(attempt.worker):
@@ -504,9 +514,9 @@
         """
         if call.ended or call.streaming:
             return
-        keyed_by_all = call.band.effect is Effect.KEYED and call.band.scope == "all"
-        harmless = call.bound() is None or call.band.effect is Effect.SAFE or keyed_by_all
-        over = self.usual[call.band.name] - call.band.target_us / 2
+        keyed_by_all = call.request_class.effect is Effect.KEYED and call.request_class.scope == "all"
+        harmless = call.bound() is None or call.request_class.effect is Effect.SAFE or keyed_by_all
+        over = self.usual[call.request_class.name] - call.request_class.target_us / 2
         wait = min(max(int(over), self.told.tick_us), self.told.max_retry_after_us)
         wait = wait if self.told.retry_after else 0
         self.actions.append(io.Refuse(call.request.id, wait) if harmless else io.Fail(call.request.id))
--- a/swiftwell/cli/sites.py
+++ b/swiftwell/cli/sites.py
@@ -66,7 +66,9 @@
     out = []
     for one in found:
         row = asdict(one)
-        row["admitted"] = [[band, tenant, part] for (band, tenant), part in one.admitted.items()]
+        row["admitted"] = [
+            [request_class, tenant, part] for (request_class, tenant), part in one.admitted.items()
+        ]
         out.append(row)
     return out
 
@@ -82,8 +84,8 @@
         sys.exit(2)
     return [
         LossPlan(
-            tuple(row.lost), (), {(band, tenant): part for band, tenant, part in row.admitted}, row.worth,
-            row.work, row.memory, row.missing_work, row.missing_mb,
+            tuple(row.lost), (), {(request_class, tenant): part for request_class, tenant, part in row.admitted},
+            row.worth, row.work, row.memory, row.missing_work, row.missing_mb,
         )
         for row in rows
     ]  # fmt: skip
@@ -128,7 +130,9 @@
 def show(plan: Path) -> None:
     """A plan that was written with --out."""
     found = _read(plan)
-    Console().print(table(found, sorted({band for one in found for band, _ in one.admitted})))
+    Console().print(
+        table(found, sorted({request_class for one in found for request_class, _ in one.admitted}))
+    )
 
 
 @sites.command()
@@ -186,17 +190,17 @@
     _order(address, site, "release")
 
 
-def table(found: list[LossPlan], bands: list[str]) -> Table:
+def table(found: list[LossPlan], request_classes: list[str]) -> Table:
     """A row a loss: what is admitted of each class, worth kept, work used."""
     out = Table(title="what each loss leaves")
     out.add_column("lost")
-    for name in (*bands, "worth kept"):
+    for name in (*request_classes, "worth kept"):
         out.add_column(name, justify="right")
     out.add_column("work used, by site")
     for one in found:
         parts = []
-        for band in bands:
-            mine = [part for (name, _), part in one.admitted.items() if name == band]
+        for request_class in request_classes:
+            mine = [part for (name, _), part in one.admitted.items() if name == request_class]
             parts.append(f"{min(mine):.0%}" if mine else "")
         used = ", ".join(f"{name} {part:.0%}" for name, part in one.work.items())
         out.add_row("+".join(one.lost) or "nothing", *parts, f"{one.worth:.1%}", used)
--- a/swiftwell/fronts/amqp/consumer.py
+++ b/swiftwell/fronts/amqp/consumer.py
@@ -356,7 +356,7 @@
             self._requeue(ref)  # no answer could be kept: it stays with the broker
             return
         self.twins[twin(ref)] = ref
-        effect = self.host.effect(trigger.band)
+        effect = self.host.effect(trigger.request_class)
         ref.safe = effect is Effect.SAFE or effect is None
         if self.open >= self.link.open:
             trigger = replace(trigger, turned=tr.TOO_MANY)
--- a/swiftwell/fronts/amqp/contract.py
+++ b/swiftwell/fronts/amqp/contract.py
@@ -81,12 +81,12 @@
             raise Unreadable(f"more than {MOST_HEADERS} headers")
         named = {name: _text(headers[name]) for name in _NAMES if name in headers}
         if len(named) == len(_NAMES):
-            tenant, band, function = named["tenant"], named["class"], named["function"]
+            tenant, request_class, function = named["tenant"], named["class"], named["function"]
         else:
-            tenant, band, function = address(deliver.routing_key, self._prefix, ".")
-            tenant, band = named.get("tenant", tenant), named.get("class", band)
+            tenant, request_class, function = address(deliver.routing_key, self._prefix, ".")
+            tenant, request_class = named.get("tenant", tenant), named.get("class", request_class)
             function = named.get("function", function)
-        if not (tenant and band and function):
+        if not (tenant and request_class and function):
             raise Unreadable("an empty tenant, class or function", True)
         given = numbers(headers.items())
         if properties.timestamp is not None and "sent-ms" not in given:
@@ -99,7 +99,7 @@
             # A broker does not count its expiration down: it is the publisher's patience, from when it sent.
             given["timeout-ms"], expiry = expiry, None
         message = Message(
-            tenant, band, function, ref.key, body, given, publisher, expiry, deliver.redelivered,
+            tenant, request_class, function, ref.key, body, given, publisher, expiry, deliver.redelivered,
             fresh=fresh,
         )  # fmt: skip
         age = None if sent is None else max(0.0, now_ms - sent)
--- a/swiftwell/fronts/fastcgi/request.py
+++ b/swiftwell/fronts/fastcgi/request.py
@@ -43,7 +43,7 @@
     def of(told: io.Settings) -> Contract:
         """The contract of the settings."""
         return Contract(
-            {band.name: band.deadline_us for band in told.classes},
+            {request_class.name: request_class.deadline_us for request_class in told.classes},
             frozenset(tenant.name for tenant in told.tenants),
             max((memory for _, memory in told.kind_memory_mb), default=MOST_MEMORY_MB),
         )
@@ -101,7 +101,7 @@
     at = path(fields)
     if not at.startswith(PATH):
         raise Turned(404, "no such path")
-    band = _name("class", at[len(PATH) :], contract.deadlines_us)
+    request_class = _name("class", at[len(PATH) :], contract.deadlines_us)
     length = fields.get(b"CONTENT_LENGTH")
     if length and (not length.isdigit() or len(length) > 9 or int(length) != len(body)):
         raise Turned(400, "CONTENT_LENGTH is not the body's")
@@ -113,7 +113,7 @@
         if contract.tenants
         else (tenant or b"").decode("latin-1")
     )
-    deadline_ms = contract.deadlines_us[band] / 1_000
+    deadline_ms = contract.deadlines_us[request_class] / 1_000
     wait = _number("Req-Wait-Ms", fields.get(b"HTTP_REQ_WAIT_MS"), 0.001, MOST_WAIT_DEADLINES * deadline_ms)
     cost = _number("Req-Cost", fields.get(b"HTTP_REQ_COST"), 0.0, MOST_COST_MS, 0.0)
     token = fields.get(b"HTTP_REQ_TOKEN", b"")
@@ -126,7 +126,7 @@
     if lanes != int(lanes):
         raise Turned(400, "lanes is no whole number")
     return Trigger(
-        source, ref, band, owner, function, id_, body, int(wait * 1_000) - age_us,
+        source, ref, request_class, owner, function, id_, body, int(wait * 1_000) - age_us,
         again=fields.get(b"HTTP_REQ_RETRY") == b"1", token=token.decode(),
         memory_mb=memory, lanes=int(lanes), hint_us=int(cost * 1_000), load_us=int(load * 1_000),
     )  # fmt: skip
--- a/swiftwell/fronts/host.py
+++ b/swiftwell/fronts/host.py
@@ -27,7 +27,7 @@
     def wall_ms(self) -> float:
         """Wall-clock time, anchored at the start."""
 
-    def effect(self, band: str) -> Effect | None:
+    def effect(self, request_class: str) -> Effect | None:
         """What a repeat of a class does; None for an unknown class."""
 
     def load(self) -> tuple[int, int]:
--- a/swiftwell/fronts/mqtt/contract.py
+++ b/swiftwell/fronts/mqtt/contract.py
@@ -108,7 +108,7 @@
             raise Rejected(reason, str(error)) from None
 
     def _read(self, message: Publish, source: str, ref: Ref, now_ms: float, fresh: bool) -> Trigger:
-        tenant, band, function = address(message.topic, self._prefix, "/")
+        tenant, request_class, function = address(message.topic, self._prefix, "/")
         if ref.version == V5:
             pairs = message.properties.get("user", [])
             told, payload = numbers(pairs), message.payload
@@ -118,7 +118,7 @@
         expiry = message.properties.get("message_expiry")
         read = Message(
             tenant,
-            band,
+            request_class,
             function,
             ref.key,
             payload,
--- a/swiftwell/fronts/mqtt/peer.py
+++ b/swiftwell/fronts/mqtt/peer.py
@@ -112,7 +112,7 @@
         self.open += 1
         if ref.correlation:
             self._twins[ref.reply, ref.correlation] = ref
-        unsafe = self.host.effect(trigger.band) is Effect.UNSAFE
+        unsafe = self.host.effect(trigger.request_class) is Effect.UNSAFE
         if self.open > self.most_open:
             trigger = replace(trigger, turned=tr.TOO_MANY)
         elif self.shared and unsafe and message.qos == 1:
@@ -125,7 +125,7 @@
     def accepted(self, trigger: Trigger) -> None:
         """An effect's intent is on disk: the message may be acknowledged."""
         ref: Ref = trigger.ref  # type: ignore[assignment]
-        if self.host.effect(trigger.band) is not Effect.SAFE:
+        if self.host.effect(trigger.request_class) is not Effect.SAFE:
             self._ack(ref, Reason.OK)
 
     def waits_again(self, ref: Ref) -> None:
--- a/swiftwell/fronts/reading.py
+++ b/swiftwell/fronts/reading.py
@@ -48,7 +48,7 @@
     """
 
     tenant: str
-    band: str
+    request_class: str
     function: str
     key: str
     payload: bytes
@@ -126,9 +126,9 @@
         self.direct, self.alone = direct, alone
         self.skew = Skew()
 
-    def deadline_ms(self, band: str) -> float:
+    def deadline_ms(self, request_class: str) -> float:
         """The deadline of a class; a minute for one that is unknown."""
-        return self._deadlines.get(band, 0.0) or 60_000.0
+        return self._deadlines.get(request_class, 0.0) or 60_000.0
 
     def trigger(self, message: Message, source: str, ref: object, now_ms: float) -> Trigger:
         """The trigger that a message asks for; raises Unreadable."""
@@ -138,7 +138,7 @@
         told = Told(
             given.get("timeout-ms"), given.get("deadline-ms"), given.get("sent-ms"), message.expiry_ms
         )
-        most = self.deadline_ms(message.band)
+        most = self.deadline_ms(message.request_class)
         left = left_us(told, most, message.publisher, now_ms, self.direct, self.skew, message.fresh)
         hint = self._hint(message.function)
         attempt, unanswered = given.get("attempt") or 0, given.get("unanswered")
@@ -148,7 +148,7 @@
         return Trigger(
             source=source,
             ref=ref,
-            band=message.band,
+            request_class=message.request_class,
             tenant=message.tenant,
             function=message.function,
             key=message.key,
--- a/swiftwell/fronts/trigger.py
+++ b/swiftwell/fronts/trigger.py
@@ -44,7 +44,7 @@
 
     source: str
     ref: object
-    band: str
+    request_class: str
     tenant: str
     function: str
     key: str
--- a/swiftwell/gateway/calls.py
+++ b/swiftwell/gateway/calls.py
@@ -36,7 +36,7 @@
 
     id: str
     trigger: Trigger
-    band: io.RequestClass
+    request_class: io.RequestClass
     deadline_us: int
     claimed: bool
     waiters: list[Waiter] = field(default_factory=list)
@@ -61,10 +61,10 @@
 
     def send_by_us(self) -> int:
         """Until when a further attempt may go out: while repeats are dropped; 0 where there is no bound."""
-        if self.band.effect is not Effect.KEYED:
+        if self.request_class.effect is not Effect.KEYED:
             return 0
         bound = next((attempt for attempt in self.attempts if attempt.ran is not Ran.NEVER), None)
-        return bound.sent_us + self.band.memory_us if bound else 0
+        return bound.sent_us + self.request_class.memory_us if bound else 0
 
     def out(self) -> bool:
         return any(attempt.out for attempt in self.attempts)
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -50,11 +50,11 @@
         """0 to take it, else for how many us its publisher is sent away."""
         ...
 
-    def attempt(self, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def attempt(self, worker: str, request_class: str, status: Status, latency_us: int) -> None:
         """How an attempt ended."""
         ...
 
-    def answered(self, band: str, tenant: str, in_time: bool) -> None:
+    def answered(self, request_class: str, tenant: str, in_time: bool) -> None:
         """A call that was taken has its answer."""
         ...
 
@@ -87,7 +87,7 @@
         self._hidden: dict[str, frozenset[str]] = {}  # see `hide`
         self._part_until = self._part_then = 0  # until when, and what then: see `divide_by`
         self._margin, self._max_open = margin_us, max_open
-        self._bands = {band.name: band for band in told.classes}
+        self._request_classes = {request_class.name: request_class for request_class in told.classes}
         self.ledger = ledger
         self.router = self._made()
         self.list = Roster(told.routers)
@@ -263,18 +263,18 @@
 
     def _arrive(self, trigger: Trigger, at_us: int) -> None:
         self.counts["calls"] += 1
-        band = self._bands.get(trigger.band)
+        request_class = self._request_classes.get(trigger.request_class)
         left = trigger.left_us - self._margin - max(0, self._now - at_us)
-        if band is None:
+        if request_class is None:
             return self._refuse(trigger, tr.UNKNOWN_CLASS)
         barred = trigger.turned or (tr.NO_TIME if left <= 0 else tr.STOPPING if self._stopping else "")
         self._shed_us = 0
         if not barred and self.observer and (wait_us := self.observer.admits(trigger)):
             barred, self._shed_us = tr.SHED, wait_us
         self._numbers += 1
-        call = Call(f"c{self._numbers}", trigger, band, self._now + left, False)
+        call = Call(f"c{self._numbers}", trigger, request_class, self._now + left, False)
         intent = None
-        if band.effect is not Effect.SAFE and self.ledger is not None:
+        if request_class.effect is not Effect.SAFE and self.ledger is not None:
             # The ledger is asked first, whatever else bars the call: a key that has run is not refused.
             if (intent := self._claim(call, barred)) is None:
                 return None
@@ -297,19 +297,23 @@
 
     def _claim(self, call: Call, barred: str) -> Entry | None:
         """Ask the ledger for the trigger's key; None where the trigger has been answered or joined."""
-        trigger, band = call.trigger, call.band
+        trigger, request_class = call.trigger, call.request_class
         if not trigger.key:
             self._refuse(trigger, tr.NO_KEY)
             return None
-        asked = b"\0".join((trigger.band.encode(), trigger.function.encode(), trigger.payload))
-        remembers = band.memory_us if band.effect is Effect.KEYED and band.scope == "all" else 0
+        asked = b"\0".join((trigger.request_class.encode(), trigger.function.encode(), trigger.payload))
+        remembers = (
+            request_class.memory_us
+            if request_class.effect is Effect.KEYED and request_class.scope == "all"
+            else 0
+        )
         verdict, what = self.ledger.claim(
             self._wall,
             trigger.tenant,
             trigger.key,
             xxhash.xxh3_128_digest(asked),
             trigger.elsewhere,
-            band.effect,
+            request_class.effect,
             call.id,
             remembers,
             not barred,
@@ -356,7 +360,7 @@
         if waiter in call.waiters:
             call.waiters.remove(waiter)
             self._forget_source(call, waiter)
-            safe = call.band.effect is Effect.SAFE
+            safe = call.request_class.effect is Effect.SAFE
             self._reply(waiter.trigger, Answer(Kind.REFUSED, tr.NO_TIME) if safe else self._doubt(call))
 
     def _overdue(self, call: Call) -> None:
@@ -375,7 +379,7 @@
 
     def _harmless(self, call: Call) -> bool:
         """Whether a refusal may be given: a retry is harmless, as nothing of the call or of its key ran."""
-        return call.band.effect is Effect.SAFE or (call.ran() is Ran.NEVER and not call.doubted)
+        return call.request_class.effect is Effect.SAFE or (call.ran() is Ran.NEVER and not call.doubted)
 
     def _give_up(self, call: Call) -> None:
         """Answer a call without the module: a refusal only where nothing of it ran."""
@@ -423,9 +427,9 @@
         trigger = call.trigger
         self._events.append(
             io.Request(
-                id=call.id, band=trigger.band, tenant=trigger.tenant, function=trigger.function,
-                left_us=call.deadline_us - self._now, hint_us=trigger.hint_us, memory_mb=trigger.memory_mb,
-                lanes=max(1, trigger.lanes), load_us=trigger.load_us, repeated=trigger.again,
+                id=call.id, request_class=trigger.request_class, tenant=trigger.tenant,
+                function=trigger.function, left_us=call.deadline_us - self._now, hint_us=trigger.hint_us, memory_mb=trigger.memory_mb, lanes=max(1, trigger.lanes),
+                load_us=trigger.load_us, repeated=trigger.again,
             )
         )  # fmt: skip
 
@@ -444,7 +448,7 @@
                 how=end.status.name.lower(), ran=end.ran.name.lower(), ms=end.latency_us // 1_000,
             )  # fmt: skip
         if self.observer:
-            self.observer.attempt(attempt.worker, call.band.name, end.status, end.latency_us)
+            self.observer.attempt(attempt.worker, call.request_class.name, end.status, end.latency_us)
         if (end.ran is Ran.NEVER) != (end.status in io.NEVER_RAN):
             raise AssertionError(f"{end.status!r} does not agree with {end.ran!r}")
         self._word(attempt.worker, end)
@@ -472,7 +476,12 @@
     def _begun(self, first: ports.FirstByte) -> None:
         """A streamed answer has begun: it belongs to this attempt now, and to a time of its own."""
         call = self._calls.get(first.id)
-        if call is None or call.settled or not call.band.streamed or first.number >= len(call.attempts):
+        if (
+            call is None
+            or call.settled
+            or not call.request_class.streamed
+            or first.number >= len(call.attempts)
+        ):
             return
         attempt = call.attempts[first.number]
         for timer in (call.timer, attempt.timer, *(waiter.timer for waiter in call.waiters)):
@@ -722,7 +731,7 @@
                 act.worker,
                 call.trigger,
                 until - self._now,
-                call.band.streamed,
+                call.request_class.streamed,
                 self._now,
                 by_us,
             )
@@ -744,7 +753,7 @@
             # a keyed call that may have run where all workers drop repeats; for how long its publisher will
             # go
             # on trying nobody knows, so it is told the truth and the ledger decides on each further try.
-            if call.band.effect is Effect.UNSAFE:
+            if call.request_class.effect is Effect.UNSAFE:
                 self._log("error", "refusal-withheld", call=call.id)
             answer = self._doubt(call)
         else:
@@ -828,8 +837,8 @@
         call.settled = True
         if self.observer:
             spent = self._now - (call.deadline_us - call.trigger.left_us + self._margin)
-            in_time = answer.kind is Kind.SERVED and spent <= call.band.target_us
-            self.observer.answered(call.band.name, call.trigger.tenant, in_time)
+            in_time = answer.kind is Kind.SERVED and spent <= call.request_class.target_us
+            self.observer.answered(call.request_class.name, call.trigger.tenant, in_time)
         if call.claimed and self.ledger is not None:
             record = self.ledger.settle(self._wall, call.trigger.tenant, call.trigger.key, answer)
             if record is not None and not self.ledger.shut_why:
--- a/swiftwell/gateway/event_loop.py
+++ b/swiftwell/gateway/event_loop.py
@@ -50,9 +50,9 @@
         """Anchored wall time."""
         return self.clock.wall_ms()
 
-    def effect(self, band: str) -> io.Effect | None:
+    def effect(self, request_class: str) -> io.Effect | None:
         """What a repeat of a class does."""
-        return self._effects.get(band)
+        return self._effects.get(request_class)
 
     def load(self) -> tuple[int, int]:
         """Calls at workers, and calls that wait."""
@@ -131,8 +131,8 @@
                 self.link.start(out)
             case ports.Reply():
                 trigger = out.trigger
-                band = trigger.band if trigger.band in self._effects else ""
-                self.replies[band, out.answer.kind.value, out.answer.reason] += 1
+                request_class = trigger.request_class if trigger.request_class in self._effects else ""
+                self.replies[request_class, out.answer.kind.value, out.answer.reason] += 1
                 trigger.ref.connection[0].replied(trigger, out.answer)  # type: ignore[attr-defined]
             case ports.Accepted():
                 out.trigger.ref.connection[0].accepted(out.trigger)  # type: ignore[attr-defined]
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -77,7 +77,7 @@
         if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may have all that is lent
             own = Share("cold", len(site.fleet.member)).own
             told = replace(told, routers=routers(own))
-        super().__init__(logs, {band.name: band.effect for band in told.classes})
+        super().__init__(logs, {request_class.name: request_class.effect for request_class in told.classes})
         self._chance = random.Random(f"{site.name}/{self.clock.wall_us()}")
         keep = site.ledger
         self.ledger = Ledger(Bounds(keep.keep_s * 1_000_000, keep.entries, keep.bytes))
@@ -416,7 +416,7 @@
         """Classes in the order of sacrifice, without a plan: each the same part of the work."""
         fleet, classes = self.site.fleet, self.site.classes
         assert fleet
-        named = [one for band in fleet.sacrifice for one in classes if one.name == band]
+        named = [one for request_class in fleet.sacrifice for one in classes if one.name == request_class]
         rest = sorted((one for one in classes if one not in named), key=lambda one: (one.worth, one.name))
         return [Rank(one.name, "", 1 / len(classes), 1.0) for one in (*rest, *named)]
 
--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -19,6 +19,9 @@
 from swiftwell.choice import FIRST_CAP, RATE_US, Router
 from swiftwell.interface import Effect, State
 
+# Fields of a request by identifier, with the name that a snapshot stores them under.
+_REQUEST = {name: {"request_class": "band"}.get(name, name) for name in io.Request._fields}
+
 
 class Copies(msgspec.Struct, array_like=True):
     """A belief: copies, MB of one, since and until when (monotonic us)."""
@@ -87,7 +90,7 @@
     """A call, with its request and class as they were told."""
 
     request: dict[str, Any]
-    band: dict[str, Any]
+    request_class: dict[str, Any] = msgspec.field(name="band")
     seq: int
     arrived: int
     attempts: list[AttemptBooks] = []
@@ -135,13 +138,13 @@
     now: int = 0
 
 
-def band_out(band: io.RequestClass) -> dict[str, Any]:
+def encode_request_class(request_class: io.RequestClass) -> dict[str, Any]:
     """A class as plain values."""
-    out = {one.name: getattr(band, one.name) for one in fields(io.RequestClass)}
-    return out | {"effect": band.effect.value}
+    out = {one.name: getattr(request_class, one.name) for one in fields(io.RequestClass)}
+    return out | {"effect": request_class.effect.value}
 
 
-def band_in(told: dict[str, Any]) -> io.RequestClass:
+def decode_request_class(told: dict[str, Any]) -> io.RequestClass:
     """And back."""
     known = {one.name for one in fields(io.RequestClass)}
     return io.RequestClass(
@@ -238,7 +241,7 @@
     if not calls:
         return out
     for call in router.calls.values():
-        request = call.request._asdict()
+        request = {_REQUEST[name]: value for name, value in call.request._asdict().items()}
         attempts = [
             AttemptBooks(a.worker.entry.worker, a.sent, a.cold, a.out, a.maybe_ran, a.before, a.group)
             for a in call.attempts
@@ -246,7 +249,7 @@
         out.calls.append(
             CallBooks(
                 request,
-                band_out(call.band),
+                encode_request_class(call.request_class),
                 call.seq,
                 call.arrived,
                 attempts,
@@ -325,10 +328,11 @@
 
 
 def _call(router: Router, c: CallBooks) -> None:
-    known = set(io.Request._fields)
-    request = io.Request(**{name: value for name, value in c.request.items() if name in known})
-    band = router.bands.get(request.band) or band_in(c.band)
-    router.usual.setdefault(band.name, band.target_us / 4)
+    request = io.Request(
+        **{name: c.request[stored] for name, stored in _REQUEST.items() if stored in c.request}
+    )
+    request_class = router.request_classes.get(request.request_class) or decode_request_class(c.request_class)
+    router.usual.setdefault(request_class.name, request_class.target_us / 4)
     function = router.functions.get(request.function)
     if function is None:
         load = request.load_us or 800_000
@@ -341,8 +345,8 @@
             request.lanes,
         )
         router.functions[request.function] = function
-    kinds = f"class {band.name}", f"tenant {request.tenant}"
-    call = rec.Call(request, band, function, c.seq, c.arrived, kinds)
+    kinds = f"class {request_class.name}", f"tenant {request.tenant}"
+    call = rec.Call(request, request_class, function, c.seq, c.arrived, kinds)
     call.held, call.ended, call.streaming = c.held, c.ended, c.streaming
     for number, a in enumerate(c.attempts):
         worker = router.workers.get(a.worker)
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -46,7 +46,12 @@
     from swiftwell.gateway.shell import Gateway
 
 VERSION = 1  # of the state; a reader takes any version, by the defaults below
-_TRIGGER = [one.name for one in fields(Trigger) if one.name != "ref"]
+# Fields of a trigger by identifier, with the name that the state stores them under.
+_TRIGGER = {
+    one.name: {"request_class": "band"}.get(one.name, one.name)
+    for one in fields(Trigger)
+    if one.name != "ref"
+}
 
 
 class RefState(msgspec.Struct):
@@ -77,7 +82,7 @@
 
     id: str
     trigger: TriggerState
-    band: dict[str, Any]
+    request_class: dict[str, Any] = msgspec.field(name="band")
     deadline_us: int
     claimed: bool = False
     waiters: list[tuple[TriggerState, int]] = []
@@ -478,14 +483,16 @@
 
 
 def _trigger_out(trigger: Trigger) -> TriggerState:
-    return TriggerState({name: getattr(trigger, name) for name in _TRIGGER}, _ref_out(trigger.ref))  # type: ignore[arg-type]
+    return TriggerState(
+        {stored: getattr(trigger, name) for name, stored in _TRIGGER.items()}, _ref_out(trigger.ref)
+    )  # type: ignore[arg-type]
 
 
 def _call_out(gateway: Gateway, call: Call) -> CallState:
     return CallState(
         call.id,
         _trigger_out(call.trigger),
-        snapshot.band_out(call.band),
+        snapshot.encode_request_class(call.request_class),
         call.deadline_us,
         call.claimed,
         [(_trigger_out(w.trigger), w.until_us) for w in call.waiters],
@@ -678,14 +685,16 @@
 
 
 def _trigger_in(one: TriggerState, peers: dict[tuple[str, str], Peer], gateway: Gateway) -> Trigger:
-    known = {name: one.values[name] for name in _TRIGGER if name in one.values}
+    known = {name: one.values[stored] for name, stored in _TRIGGER.items() if stored in one.values}
     return Trigger(ref=_ref_in(one.ref, peers, gateway), **known)
 
 
 def _call_in(gateway: Gateway, one: CallState, peers: dict[tuple[str, str], Peer]) -> None:
     engine = gateway.engine
-    band = engine._bands.get(one.trigger.values["band"]) or snapshot.band_in(one.band)
-    call = Call(one.id, _trigger_in(one.trigger, peers, gateway), band, one.deadline_us, one.claimed)
+    request_class = engine._request_classes.get(one.trigger.values["band"]) or snapshot.decode_request_class(
+        one.request_class
+    )
+    call = Call(one.id, _trigger_in(one.trigger, peers, gateway), request_class, one.deadline_us, one.claimed)
     call.attempts = [Attempt(worker, out, Ran(ran), 0, until) for worker, out, ran, until in one.attempts]
     call.settled, call.streaming, call.doubted = one.settled, one.streaming, one.doubted
     call.orphan, call.blames = one.orphan, one.blames
--- a/swiftwell/interface.py
+++ b/swiftwell/interface.py
@@ -142,7 +142,7 @@
     """A client's call; hints that are not told are 0."""
 
     id: str
-    band: str
+    request_class: str
     tenant: str
     function: str
     left_us: int
--- a/swiftwell/lab/clients.py
+++ b/swiftwell/lab/clients.py
@@ -128,7 +128,7 @@
             function = f"once/{self._name}-{self._number}"
         else:
             rank = int(habit.functions ** draws.uniform()) - 1
-            function = f"heat/{habit.band}-{rank}"
+            function = f"heat/{habit.request_class}-{rank}"
         client = draws.below(len(self._clients))
         self._try(_Call(f"{self._name}-{self._number}", habit, function, client))
 
@@ -146,7 +146,7 @@
         name = f"{self._name}-leaver-{corr}" if leaves else self._client_name(call.client)
         now = self.world.now
         message = Message(
-            name, corr, call.key, habit.band, habit.tenant, call.function, now, int(patience * 1e6),
+            name, corr, call.key, habit.request_class, habit.tenant, call.function, now, int(patience * 1e6),
             lambda m, kind, reason, dup: self._answer(call, m, kind, reason, dup), attempt=attempt,
             unanswered=call.unanswered, qos=habit.qos, priority=min(9, round(habit.worth)),
         )  # fmt: skip
@@ -155,9 +155,9 @@
             to = self._front.gateways[gateway].port if isinstance(self._front, Endpoint) else 1
             self.world.note("connected", "publishers", client=name, to=f"127.0.0.1:{to}")
         self.world.note(
-            "try", "publishers", client=name, corr=corr, key=call.key, band=habit.band, tenant=habit.tenant,
-            function=call.function, number=attempt, until=now + message.patience_us, worth=habit.worth,
-            wanted=int(habit.wanted_s * 1e6),
+            "try", "publishers", client=name, corr=corr, key=call.key,
+            band=habit.request_class, tenant=habit.tenant, function=call.function, number=attempt,
+            until=now + message.patience_us, worth=habit.worth, wanted=int(habit.wanted_s * 1e6),
         )  # fmt: skip
         if leaves:
             self.world.note("left", "publishers", corr=corr)
@@ -193,7 +193,7 @@
     def _ended(self, call: _Call, how: str, told_us: int = 0) -> None:
         """A try has ended: the call is over, or is tried again after a while."""
         call.unanswered |= how != "refused"
-        once = how == "failed" and call.habit.band.startswith("consigna")
+        once = how == "failed" and call.habit.request_class.startswith("consigna")
         if how in ("served", "left") or once or call.tries > self._plan.retries:
             self.open -= 1
             if self.done and not self.open:
--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -31,7 +31,7 @@
     client: str
     corr: str
     key: str
-    band: str
+    request_class: str
     tenant: str
     function: str
     sent_us: int
@@ -45,7 +45,7 @@
     wait_us: int = 0  # for which its refusal sent its publisher away
 
     def topic(self) -> str:
-        return f"calls/{self.tenant}/{self.band}/{self.function}"
+        return f"calls/{self.tenant}/{self.request_class}/{self.function}"
 
 
 @dataclass(slots=True, eq=False)
@@ -73,7 +73,7 @@
     hint = gateway.plan.hint(message.function)
     left = message.patience_us - (gateway.world.now - message.sent_us)
     return Trigger(
-        source, origin, message.band, message.tenant, message.function, message.key,
+        source, origin, message.request_class, message.tenant, message.function, message.key,
         f"{message.key} payload".encode(), max(0, left),
         again=dup or message.attempt > 0,
         elsewhere=not alone and (message.unanswered or elsewhere),
@@ -99,7 +99,7 @@
         gateway.submit(trigger(origin, f"mqtt:{message.client}", again, again, self._alone))
 
     def _accepted(self, origin: Origin) -> None:
-        if origin.gateway.effect(origin.message.band) is not Effect.SAFE:
+        if origin.gateway.effect(origin.message.request_class) is not Effect.SAFE:
             self._ack(origin)
 
     def _ack(self, origin: Origin) -> None:
@@ -200,7 +200,7 @@
             return
 
         def accepted(origin: Origin) -> None:
-            if gateway.effect(message.band) is not Effect.SAFE:
+            if gateway.effect(message.request_class) is not Effect.SAFE:
                 self._ack(member, origin)
 
         def replied(origin: Origin, answer: Answer) -> None:
@@ -211,7 +211,7 @@
 
         origin = Origin(message, gateway, life, accepted, replied)
         found = trigger(origin, "broker:estate", dup, False, self._alone)
-        if self._share and message.qos == 1 and gateway.effect(message.band) is Effect.UNSAFE:
+        if self._share and message.qos == 1 and gateway.effect(message.request_class) is Effect.UNSAFE:
             found = replace(found, turned=tr.UNSAFE_QOS)
         gateway.submit(found)
 
@@ -370,7 +370,7 @@
             else:
                 twin.also.append(tag)
             return
-        safe = gateway.effect(message.band) in (None, Effect.SAFE)
+        safe = gateway.effect(message.request_class) in (None, Effect.SAFE)
         consumer.open += 1
         consumer.claimed += not safe
 
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -50,7 +50,7 @@
         self.world, self.name, self.plan, self._servers = world, name, plan, servers
         self._delay = world.stream(f"network/{name}")
         self._disk_chance = world.stream(f"disk/{name}")
-        self._effects = {band.name: band.effect for band in plan.told.classes}
+        self._effects = {request_class.name: request_class.effect for request_class in plan.told.classes}
         self.disk: list[Record] = []  # what is durable, and outlives a kill
         self._books: tuple[int, snapshot.RouterBooks] | None = None
         self.up = False
@@ -202,7 +202,7 @@
         trigger = out.trigger
         work = Work(
             f"{self.name}/{out.id}/{out.number}", trigger.function, 0.0, trigger.memory_mb or 100.0,
-            max(1, trigger.lanes), trigger.key, trigger.band,
+            max(1, trigger.lanes), trigger.key, trigger.request_class,
         )  # fmt: skip
         life = self.life
 
@@ -309,9 +309,9 @@
 
     # What fronts use.
 
-    def effect(self, band: str) -> Effect | None:
+    def effect(self, request_class: str) -> Effect | None:
         """What a repeat of a class does."""
-        return self._effects.get(band)
+        return self._effects.get(request_class)
 
     def submit(self, trigger: Trigger) -> None:
         """Take a trigger, whose `ref` hears of its answer."""
--- a/swiftwell/lab/servers.py
+++ b/swiftwell/lab/servers.py
@@ -173,12 +173,12 @@
         if life == self._life:
             self.die(back_s)
 
-    def fault(self, name: str, for_s: float, times: float = 5.0, band: str = "") -> None:
+    def fault(self, name: str, for_s: float, times: float = 5.0, request_class: str = "") -> None:
         """As of the stand-in."""
         self.world.note("fault", "fleet", worker=self.name, fault=name, for_s=for_s)
         until = self.world.now + int(for_s * 1e6)
         if name == "full":
-            self._full[band] = until
+            self._full[request_class] = until
             return
         self._until[name] = until
         if name in ("hang", "pause"):
@@ -225,10 +225,10 @@
         if self.refuses():
             told(Answer(lost=True))
             return
-        self._note("recv", gw=gw, call=call, key=work.key, band=work.band, function=work.function)
-        mean = self._work_us.get(work.band, self._work_us.get("", 100_000.0))
+        self._note("recv", gw=gw, call=call, key=work.key, band=work.request_class, function=work.function)
+        mean = self._work_us.get(work.request_class, self._work_us.get("", 100_000.0))
         work.work_us = self._chance.uniform(0.5, 1.5) * mean
-        verdict = self._refusal(work.band)
+        verdict = self._refusal(work.request_class)
         if not verdict:
             self._waiting[work] = told
             taken, effects = self.model.arrive(self.world.now, work)
@@ -243,10 +243,10 @@
             self._note("turned", gw=gw, call=call, verdict=verdict)
             told(self._answer(verdict, work))
 
-    def _refusal(self, band: str) -> str:
+    def _refusal(self, request_class: str) -> str:
         if self.draining:
             return "draining"
-        until = max(self._full.get(band, 0), self._full.get("", 0))
+        until = max(self._full.get(request_class, 0), self._full.get("", 0))
         return "full" if self.world.now < until else ""
 
     def _answer(self, verdict: str, work: Work | None = None) -> Answer:
@@ -324,7 +324,7 @@
 
     def _done(self, work: Work) -> None:
         if not work.repeated:
-            self._note("ran", call=work.id, key=work.key, band=work.band, found=work.found)
+            self._note("ran", call=work.id, key=work.key, band=work.request_class, found=work.found)
         told = self._waiting.pop(work, None)
         if self._has("die_after"):  # after the effect, before its answer
             del self._until["die_after"]
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -45,7 +45,9 @@
 
     def __init__(self, platform: Platform, file: str, logs: Logs, began_us: int | None = None) -> None:
         settings = platform.settings
-        super().__init__(logs, {band.name: band.effect for band in settings.classes})
+        super().__init__(
+            logs, {request_class.name: request_class.effect for request_class in settings.classes}
+        )
         self.platform = platform
         self._reload = ConfigurationReload(file, self._reconfigured, self._kept_configuration, self.log)
         self._staleness = ListStaleness(self.clock.now_us() if began_us is None else began_us)
@@ -184,7 +186,7 @@
         what is known of them before SIGKILL.  It waited for its own cap and then ended with calls open.
         """
         began = time.monotonic()
-        longest_us = max(band.deadline_us for band in self.platform.settings.classes)
+        longest_us = max(request_class.deadline_us for request_class in self.platform.settings.classes)
         schedule = ShutdownSchedule.of(longest_us / 1e6)
         try:
             await asyncio.sleep(schedule.take_s)
--- a/swiftwell/proof/account.py
+++ b/swiftwell/proof/account.py
@@ -121,15 +121,15 @@
                 served.setdefault(event["corr"].rpartition(".")[0], event["t"])
     calls: Counter[int] = Counter()
     good: Counter[int] = Counter()
-    bands: dict[str, list[int]] = defaultdict(lambda: [0, 0])
+    request_classes: dict[str, list[int]] = defaultdict(lambda: [0, 0])
     for key, one in tries.items():
         second = (one["t"] - began) // SECOND
         in_time = key in served and served[key] - one["t"] <= one["wanted"]
         calls[second] += 1
         good[second] += in_time
         if 0 <= one["t"] - up < 30 * SECOND:
-            bands[one["band"]][0] += 1
-            bands[one["band"]][1] += in_time
+            request_classes[one["band"]][0] += 1
+            request_classes[one["band"]][1] += in_time
     last = max(calls, default=0)
     rate = []
     for second in range(last + 1):
@@ -150,6 +150,9 @@
         "first_served_s": round((first - up) / SECOND, 3) if first else None,
         "fell_again_by": round(fallen, 3),
         "second_collapse": fallen > DROP,
-        "by_class_30_s": {band: round(got / max(1, asked), 3) for band, (asked, got) in bands.items()},
+        "by_class_30_s": {
+            request_class: round(got / max(1, asked), 3)
+            for request_class, (asked, got) in request_classes.items()
+        },
         "by_second": [round(one, 2) for one in rate],
     }
--- a/swiftwell/proof/rules.py
+++ b/swiftwell/proof/rules.py
@@ -191,8 +191,8 @@
             where = ", ".join(f"{run['worker']} as {run['call']}" for run in runs)
             found.breach("effects_once", f"{key} ran {len(runs)} times: {where}")
     for answer in refused:
-        key, band = keys.get(answer["corr"], ("", "safe"))
-        if limits.effects.get(band, "safe") == "safe":
+        key, request_class = keys.get(answer["corr"], ("", "safe"))
+        if limits.effects.get(request_class, "safe") == "safe":
             continue
         before = [run for run in ran.get(key, ()) if came.get(run["call"], run["t"]) <= answer["t"]]
         if before and answer["reason"] != "key-reused":
--- a/swiftwell/records.py
+++ b/swiftwell/records.py
@@ -133,7 +133,7 @@
     """A request from its arrival until nothing of it is outstanding."""
 
     request: io.Request
-    band: io.RequestClass
+    request_class: io.RequestClass
     function: Function
     seq: int
     arrived: int
@@ -214,13 +214,13 @@
     def ready(self) -> bool:
         return self.entry.state is io.State.READY
 
-    def group(self, band: io.RequestClass) -> str:
+    def group(self, request_class: io.RequestClass) -> str:
         """The group of workers that drops repeats of a keyed request, as the wire states it."""
-        if band.effect is not io.Effect.KEYED or band.scope == "all":
+        if request_class.effect is not io.Effect.KEYED or request_class.scope == "all":
             return "all"
         if not self.identified:  # another may have taken its address, from another group
             return f"? {self.entry.worker}"
-        return str(self.entry.cell) if band.scope == "cell" else self.entry.zone
+        return str(self.entry.cell) if request_class.scope == "cell" else self.entry.zone
 
     def believed(self, name: str, now: int) -> int:
         """Copies believed here; a copy at work does not fade."""
@@ -267,7 +267,7 @@
         self.leases: Leases | None = None  # None: the list is always taken for current
         self.list_serves = True  # its word on every worker holds in this batch
         self.told, self.seed = settings, seed  # no choice is left to chance so far: the seed is unused
-        self.bands = {band.name: band for band in settings.classes}
+        self.request_classes = {request_class.name: request_class for request_class in settings.classes}
         self.workers: dict[str, Worker] = {}
         self.ready: list[Worker] = []  # of the list of workers that is numbered `listing`
         self.listing = 0
--- a/swiftwell/settings/site.py
+++ b/swiftwell/settings/site.py
@@ -484,9 +484,9 @@
         reader.wrong(line, text)
     if fleet.sites and len({one.zone for one in fleet.member}) < 2:
         reader.wrong(line, "fleet: sites wants members in two zones at least")
-    for band in fleet.sacrifice:
-        if band not in [one.name for one in site.classes]:
-            reader.wrong(line, f"fleet: sacrifice names no class {band!r}")
+    for request_class in fleet.sacrifice:
+        if request_class not in [one.name for one in site.classes]:
+            reader.wrong(line, f"fleet: sacrifice names no class {request_class!r}")
     told = site.workers.worker_connections
     if bool(told) != ("connections" in fleet.budgets):
         reader.wrong(line, "fleet: budget connections and worker-connections in workers want each other")
--- a/swiftwell/settings/sites.py
+++ b/swiftwell/settings/sites.py
@@ -72,7 +72,7 @@
     reader = Reader(file)
     found: SitesDocument = reader.read(SitesDocument, Node("", [], {}, parse(text, file), 1))
     names = [one.name for one in found.sites or ()]
-    bands = {load.band for one in found.sites or () for load in one.loads}
+    request_classes = {load.band for one in found.sites or () for load in one.loads}
     if len(names) < 2:
         reader.wrong(1, "at least two `site NAME` are expected: with one there is nowhere to go")
     for one in found.sites or ():
@@ -89,10 +89,10 @@
         for name in (cross.origin, cross.to):
             if name not in names:
                 reader.wrong(reader.line(cross), f"crossing names no site {name!r}")
-    for band in found.sacrifice:
-        if band not in bands:
-            reader.wrong(1, f"sacrifice names a class {band!r} that no load has")
-    if not bands:
+    for request_class in found.sacrifice:
+        if request_class not in request_classes:
+            reader.wrong(1, f"sacrifice names a class {request_class!r} that no load has")
+    if not request_classes:
         reader.wrong(1, "no load: what comes at the sites is expected, `load CLASS rate=... work-ms=...`")
     if reader.problems:
         raise SettingsError(sorted(reader.problems, key=lambda problem: problem.line))
--- a/swiftwell/sites/admit.py
+++ b/swiftwell/sites/admit.py
@@ -25,7 +25,7 @@
 class Rank:
     """A class of a tenant in the order of sacrifice."""
 
-    band: str
+    request_class: str
     tenant: str
     share: float  # of the calls, by their work
     admitted: float  # by the plan
@@ -57,20 +57,20 @@
         """All sites serve."""
         self.active, self.cut = False, 0.0
 
-    def part(self, band: str, tenant: str) -> float:
+    def part(self, request_class: str, tenant: str) -> float:
         """Part of a class's calls that is admitted now: the order is cut from its first on."""
         left = self.cut
         for one in self.order:
-            if one.band == band and one.tenant in ("", tenant):  # no tenant: all of them
+            if one.request_class == request_class and one.tenant in ("", tenant):  # no tenant: all of them
                 return 1.0 if one.share <= 0 else min(1.0, max(0.0, 1 - left / one.share))
             left = max(0.0, left - one.share)
         return 1.0  # a class that the plan does not know is not refused by it
 
-    def admits(self, band: str, tenant: str, key: str) -> bool:
+    def admits(self, request_class: str, tenant: str, key: str) -> bool:
         """Whether a call is taken; the same for each repeat under its key, at every router."""
         if not self.active:
             return True
-        part = self.part(band, tenant)
+        part = self.part(request_class, tenant)
         return part >= 1 or xxhash.xxh64_intdigest(key.encode()) < part * 2**64
 
     def wait_ms(self, key: str) -> int:
--- a/swiftwell/sites/desk.py
+++ b/swiftwell/sites/desk.py
@@ -95,7 +95,7 @@
 
     # What happens.
 
-    def attempt(self, site: str, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def attempt(self, site: str, worker: str, request_class: str, status: Status, latency_us: int) -> None:
         """One of our attempts at a worker of a site has ended."""
         one = self._now_counts.get(site)
         if one is None:
@@ -104,14 +104,14 @@
             one.bad += 1
             one.failed.add(worker)
         elif status is Status.OK:
-            usual = self._usual.get(band)
+            usual = self._usual.get(request_class)
             if usual and latency_us > SLOW_TIMES * usual:
                 one.slow += 1
             else:
                 one.good += 1
                 one.worked.add(worker)
             one.times += min(SLOW_TIMES, latency_us / usual) if usual else 1.0
-            self._usual[band] = latency_us if not usual else usual + USUAL * (latency_us - usual)
+            self._usual[request_class] = latency_us if not usual else usual + USUAL * (latency_us - usual)
         elif status is Status.FULL:
             one.good += 1  # it is there, and says so
             one.times += 1.0
--- a/swiftwell/sites/plan.py
+++ b/swiftwell/sites/plan.py
@@ -34,7 +34,7 @@
 class Demand:
     """Calls of one class of one tenant that come at one site."""
 
-    band: str
+    request_class: str
     tenant: str
     place: str
     rate: float  # calls a second
@@ -93,9 +93,12 @@
     """All classes, the first to be refused first."""
     value: dict[str, float] = {}
     for one in sites.demands:
-        value[one.band] = max(value.get(one.band, 0.0), one.worth / one.work_s)
-    rest = sorted((band for band in value if band not in sites.order), key=lambda band: (value[band], band))
-    return [*rest, *(band for band in sites.order if band in value)]
+        value[one.request_class] = max(value.get(one.request_class, 0.0), one.worth / one.work_s)
+    rest = sorted(
+        (request_class for request_class in value if request_class not in sites.order),
+        key=lambda request_class: (value[request_class], request_class),
+    )
+    return [*rest, *(request_class for request_class in sites.order if request_class in value)]
 
 
 def plans(sites: Sites, losses: int = 2) -> list[LossPlan]:
@@ -126,13 +129,13 @@
         one, place = sites.demands[d], left[p].name
         if rate <= KEPT:
             continue
-        flows.append(Flow(one.band, one.tenant, one.place, place, round(float(rate), 6)))
+        flows.append(Flow(one.request_class, one.tenant, one.place, place, round(float(rate), 6)))
         by_place[place] += rate * one.work_s
         memory[place] += rate / one.rate * one.functions * one.memory_mb
-        got[one.band, one.tenant] = got.get((one.band, one.tenant), 0.0) + rate
+        got[one.request_class, one.tenant] = got.get((one.request_class, one.tenant), 0.0) + rate
         worth += rate * one.worth
     for one in sites.demands:
-        asked[one.band, one.tenant] = asked.get((one.band, one.tenant), 0.0) + one.rate
+        asked[one.request_class, one.tenant] = asked.get((one.request_class, one.tenant), 0.0) + one.rate
     whole = sum(one.rate * one.worth for one in sites.demands)
     need = sum(one.rate * one.work_s for one in sites.demands)
     need_mb = sum(one.functions * one.memory_mb for one in sites.demands)
@@ -167,8 +170,8 @@
         demands[d].worth - sites.prices.get((demands[d].place, left[p].name), 0.0) for d, p in pairs
     ])  # fmt: skip
     found = np.zeros(count)
-    for band in reversed(sacrifice(sites)):
-        mine = np.array([float(demands[d].band == band) for d, _ in pairs])
+    for request_class in reversed(sacrifice(sites)):
+        mine = np.array([float(demands[d].request_class == request_class) for d, _ in pairs])
         if not mine.any():
             continue
         # As many of its calls as can be, and among these the ones of most worth.
@@ -196,21 +199,21 @@
 class Order:
     """One class of one tenant in a plan's order: refused before those that follow it."""
 
-    band: str
+    request_class: str
     tenant: str
     admitted: float
 
 
 def admission(sites: Sites, told: LossPlan) -> list[Order]:
     """What a gateway needs of a plan: the order of sacrifice, and how much of each is admitted."""
-    order = {band: place for place, band in enumerate(sacrifice(sites))}
-    found = [Order(band, tenant, part) for (band, tenant), part in told.admitted.items()]
-    return sorted(found, key=lambda one: (order[one.band], one.admitted, one.tenant))
+    order = {request_class: place for place, request_class in enumerate(sacrifice(sites))}
+    found = [Order(request_class, tenant, part) for (request_class, tenant), part in told.admitted.items()]
+    return sorted(found, key=lambda one: (order[one.request_class], one.admitted, one.tenant))
 
 
 def inversions(sites: Sites, admitted: dict[tuple[str, str], float]) -> int:
     """Pairs of classes of which the one to be refused first gets more than the other, which is not whole."""
-    order = {band: place for place, band in enumerate(sacrifice(sites))}
+    order = {request_class: place for place, request_class in enumerate(sacrifice(sites))}
     found = 0
     for (a, part_a), (b, part_b) in itertools.permutations(admitted.items(), 2):
         found += order[a[0]] < order[b[0]] and part_a > part_b + 1e-6 and part_b < 1 - 1e-6
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/watch.py
@@ -59,15 +59,15 @@
     def admits(self, trigger: Trigger) -> int:
         """Turn a trigger away where the order of sacrifice says so."""
         key = trigger.key or f"{trigger.source}/{trigger.function}"
-        if self.desk.admission.admits(trigger.band, trigger.tenant, key):
+        if self.desk.admission.admits(trigger.request_class, trigger.tenant, key):
             return 0
         return self.desk.admission.wait_ms(key) * 1_000
 
-    def attempt(self, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def attempt(self, worker: str, request_class: str, status: Status, latency_us: int) -> None:
         """An attempt has ended."""
-        self.desk.attempt(self._site(worker), worker, band, status, latency_us)
+        self.desk.attempt(self._site(worker), worker, request_class, status, latency_us)
 
-    def answered(self, band: str, tenant: str, in_time: bool) -> None:
+    def answered(self, request_class: str, tenant: str, in_time: bool) -> None:
         """A call that was taken has its answer."""
         self.desk.admission.ended(in_time)
 
@@ -174,8 +174,8 @@
             "sites": {name: one.state.value for name, one in self.desk.judge.sites.items()},
             "shown": {site: len(those) for site, those in self._hidden.items()},
             "refusing": {
-                "/".join(filter(None, (rank.band, rank.tenant))): round(
-                    admission.part(rank.band, rank.tenant), 3
+                "/".join(filter(None, (rank.request_class, rank.tenant))): round(
+                    admission.part(rank.request_class, rank.tenant), 3
                 )
                 for rank in admission.order
             }
--- a/swiftwell/standins/amqp_publishers.py
+++ b/swiftwell/standins/amqp_publishers.py
@@ -50,7 +50,7 @@
         )  # fmt: skip
         properties.priority = min(9, round(habit.worth))
         return (
-            f"{self._topic}.{habit.tenant}.{habit.band}.{function}",
+            f"{self._topic}.{habit.tenant}.{habit.request_class}.{function}",
             properties,
             f"{call.key} payload".encode(),
         )
--- a/swiftwell/standins/model.py
+++ b/swiftwell/standins/model.py
@@ -49,7 +49,7 @@
     memory_mb: float = 100.0
     lanes: int = 1
     key: str = ""
-    band: str = ""
+    request_class: str = ""
     found: str = "warm"
     crowd: int = 0
     left: float = 0.0
--- a/swiftwell/standins/publishers.py
+++ b/swiftwell/standins/publishers.py
@@ -25,7 +25,7 @@
 class Habit:
     """A class of calls as publishers make it."""
 
-    band: str
+    request_class: str
     share: float
     patience_s: float
     functions: int
@@ -167,7 +167,7 @@
             function = f"once/{self._name}-{self._number}"
         else:  # a few functions draw most calls
             rank = int(habit.functions ** self._chance.random()) - 1
-            function = f"heat/{habit.band}-{rank}"
+            function = f"heat/{habit.request_class}-{rank}"
         return Call(f"{self._name}-{self._number}", habit, function)
 
     async def _call(self, call: Call) -> None:
@@ -180,7 +180,7 @@
             if kind in ("served", "left"):
                 return
             call.unanswered |= kind != "refused"
-            if kind == "failed" and call.habit.band.startswith("consigna"):
+            if kind == "failed" and call.habit.request_class.startswith("consigna"):
                 return  # it may have run; asking again with the same key would say the same
             await asyncio.sleep(self._rest(call, kind))
 
@@ -218,7 +218,7 @@
             client=client,
             corr=corr,
             key=call.key,
-            band=habit.band,
+            band=habit.request_class,
             tenant=habit.tenant,
             function=call.function,
             number=number,
@@ -246,7 +246,7 @@
         return "left"
 
     def _message(self, call: Call, corr: str, number: int, attempt: int, patience: float) -> Publish:
-        topic = f"{self._topic}/{call.habit.tenant}/{call.habit.band}/{call.function}"
+        topic = f"{self._topic}/{call.habit.tenant}/{call.habit.request_class}/{call.function}"
         sent = time.time() * 1e3 + self.plan.skew_ms
         timeout = patience * 1e3
         if self._version == V311:
--- a/swiftwell/standins/worker.py
+++ b/swiftwell/standins/worker.py
@@ -182,23 +182,23 @@
             answer.headers["swiftwell-started-ms"] = f"{self.started_ms:.3f}"
         return answer
 
-    def _refusal(self, band: str) -> str:
+    def _refusal(self, request_class: str) -> str:
         if self.draining:
             return "draining"
-        until = max(self._full.get(band, 0.0), self._full.get("", 0.0))
+        until = max(self._full.get(request_class, 0.0), self._full.get("", 0.0))
         return "full" if time.monotonic() < until else ""
 
     async def _run(self, request: Request, stream: IOStream, gateway: str, life: int) -> Response | None:
         h = request.headers
-        band, key = unquote(h.get("swiftwell-class", "")), unquote(h.get("swiftwell-key", ""))
+        request_class, key = unquote(h.get("swiftwell-class", "")), unquote(h.get("swiftwell-key", ""))
         function, call = unquote(request.target[5:]), h.get("swiftwell-call", "")
         self.trace.note(
-            "recv", worker=self.name, gw=gateway, call=call, key=key, band=band, function=function
+            "recv", worker=self.name, gw=gateway, call=call, key=key, band=request_class, function=function
         )
-        verdict = self._refusal(band)
+        verdict = self._refusal(request_class)
         work = Work(
-            call, function, self._draw(band), float(h.get("swiftwell-memory-mb", "100")),
-            max(1, int(h.get("swiftwell-lanes", "1"))), key, band,
+            call, function, self._draw(request_class), float(h.get("swiftwell-memory-mb", "100")),
+            max(1, int(h.get("swiftwell-lanes", "1"))), key, request_class,
         )  # fmt: skip
         if not verdict:
             taken, effects = self.model.arrive(_now(), work)
@@ -269,8 +269,8 @@
             return Response(500, {}, b"the load failed\n")
         return _count(self.model.copies(function))
 
-    def _draw(self, band: str) -> float:
-        mean = self._work_us.get(band, self._work_us.get("", 100_000.0))
+    def _draw(self, request_class: str) -> float:
+        mean = self._work_us.get(request_class, self._work_us.get("", 100_000.0))
         return self._chance.uniform(0.5, 1.5) * mean
 
     # Carrying out what the model wants.
@@ -299,7 +299,7 @@
     def _done(self, work: Work) -> None:
         if not work.repeated:
             self.trace.note(
-                "ran", worker=self.name, call=work.id, key=work.key, band=work.band, found=work.found
+                "ran", worker=self.name, call=work.id, key=work.key, band=work.request_class, found=work.found
             )
         if self._has("die_after"):  # after the effect, before its answer
             del self._until["die_after"]
--- a/swiftwell/wire.py
+++ b/swiftwell/wire.py
@@ -172,7 +172,7 @@
 def _request(found: Fields) -> io.Request:
     return io.Request(
         id=_read(found, "id", str),
-        band=_read(found, "band", str),
+        request_class=_read(found, "band", str),
         tenant=_read(found, "tenant", str, ""),
         function=_read(found, "handler", str, ""),
         left_us=_read(found, "grace-ms", _us),
--- a/swiftwell/workers/protocol.py
+++ b/swiftwell/workers/protocol.py
@@ -22,7 +22,7 @@
         "host": worker,
         "swiftwell-gateway": gateway,
         "swiftwell-call": f"{gateway}/{id_}/{number}",
-        "swiftwell-class": quote(trigger.band, safe=""),
+        "swiftwell-class": quote(trigger.request_class, safe=""),
         "swiftwell-tenant": quote(trigger.tenant, safe=""),
         "swiftwell-left-ms": str(max(0, left_us // 1_000)),
         "swiftwell-memory-mb": f"{trigger.memory_mb:g}",
--- a/swiftwell/workers/resp/codec.py
+++ b/swiftwell/workers/resp/codec.py
@@ -160,9 +160,13 @@
     return end[0], count(fields(text), b"instances")
 
 
-def run(id_: bytes, band: str, function: str, left_us: int, body: bytes, token: str = "") -> bytes:
+def run(id_: bytes, request_class: str, function: str, left_us: int, body: bytes, token: str = "") -> bytes:
     """The command that runs a call; `token`: under which the worker's group drops repeats of a keyed one."""
-    told = b"lane=%b,name=%b,ttl=%d" % (band.encode(), function.encode(), max(1, -(-left_us // 1_000)))
+    told = b"lane=%b,name=%b,ttl=%d" % (
+        request_class.encode(),
+        function.encode(),
+        max(1, -(-left_us // 1_000)),
+    )
     if token:
         told += b",dedupe=%b" % token.encode()
     return command(b"FN", id_, told, body)
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -107,7 +107,9 @@
             left = until_us - now_us
             if left <= 0 or (act.by_us and now_us >= act.by_us):
                 return b""
-            return codec.run(id_, trigger.band, trigger.function, left, trigger.payload, trigger.token)
+            return codec.run(
+                id_, trigger.request_class, trigger.function, left, trigger.payload, trigger.token
+            )
 
         job = Job(act.worker, id_, words(began), answered, end, True, words, began=began, handover=handover)
         self._jobs[key] = job
--- a/tests/amqpbench.py
+++ b/tests/amqpbench.py
@@ -69,12 +69,20 @@
         return self
 
     def publish(
-        self, band="lectura", key="", timeout=2_000, body=b"x", exchange="calls", to=None, reply=None, **more
+        self,
+        request_class="lectura",
+        key="",
+        timeout=2_000,
+        body=b"x",
+        exchange="calls",
+        to=None,
+        reply=None,
+        **more,
     ):
         self.count += 1
         corr = f"q{self.count}"
         properties = trigger(key or f"{self.reply}/{corr}", reply or self.reply, corr, timeout, **more)
-        self.client.publish(exchange, to or f"calls.t.{band}.f", properties, body)
+        self.client.publish(exchange, to or f"calls.t.{request_class}.f", properties, body)
         return corr
 
     async def answer(self, corr, within=5.0):
--- a/tests/enginebench.py
+++ b/tests/enginebench.py
@@ -41,12 +41,14 @@
             out += self.do()
         return out
 
-    def trigger(self, band="safe", key="", left=2_000_000, source="m:1", payload=b"x", **more):
-        return Trigger(source, object(), band, "t", more.pop("function", "f"), key, payload, left, **more)
+    def trigger(self, request_class="safe", key="", left=2_000_000, source="m:1", payload=b"x", **more):
+        return Trigger(
+            source, object(), request_class, "t", more.pop("function", "f"), key, payload, left, **more
+        )
 
-    def call(self, band="safe", key="", **more):
+    def call(self, request_class="safe", key="", **more):
         """A trigger arrives; what came out."""
-        return self.do(ports.Arrive(self.trigger(band, key, **more)))
+        return self.do(ports.Arrive(self.trigger(request_class, key, **more)))
 
     def end(self, start, status=io.Status.OK, ran=None, body=b"done", **more):
         """An attempt ends."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -79,10 +79,12 @@
                 done += self.do(*(io.Timer(token) for _, token in late))
         return done
 
-    def call(self, function: str = "f", band: str = "safe", left: int = 3_000_000, **more) -> list[io.Action]:
+    def call(
+        self, function: str = "f", request_class: str = "safe", left: int = 3_000_000, **more
+    ) -> list[io.Action]:
         self.count += 1
         fields = dict(tenant="", hint_us=0, memory_mb=100.0, lanes=4, load_us=0, repeated=False) | more
-        return self.do(io.Request(f"r{self.count}", band, function=function, left_us=left, **fields))
+        return self.do(io.Request(f"r{self.count}", request_class, function=function, left_us=left, **fields))
 
     def answer(
         self, send: io.Send, status: io.Status = io.Status.OK, number: int = 0, us: int = 50_000
--- a/tests/outagebench.py
+++ b/tests/outagebench.py
@@ -258,10 +258,10 @@
     async def _ask(self, front):
         self.seen.asked += 1
         wanted = id_(self.number * 1_000_000 + self.seen.asked)
-        band = "consigna" if self.chance.random() < 0.15 else "lectura"
+        request_class = "consigna" if self.chance.random() < 0.15 else "lectura"
         function = FUNCTIONS[min(int(self.chance.expovariate(0.5)), len(FUNCTIONS) - 1)]
         began = time.monotonic()
-        status, _, _ = await front.ask(1, fields(wanted, band, wait="1500", HTTP_REQ_KEY=function))
+        status, _, _ = await front.ask(1, fields(wanted, request_class, wait="1500", HTTP_REQ_KEY=function))
         took = time.monotonic() - began
         if status == 200:
             self.seen.served += 1
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -20,7 +20,7 @@
 def settings(**more):
     """The settings as the platform nests them."""
 
-    def band(name, effect):
+    def request_class(name, effect):
         return {"name": name, "effect": effect, "target-ms": 400.0, "deadline-ms": 1500.0, "value": 2.0}
 
     return {
@@ -32,7 +32,7 @@
         "flavors": ["std", "big"],
         "locality": "east",
         "discovery": "pushed",
-        "lanes": [band("lectura", "idempotent"), band("consigna", "at_most_once")],
+        "lanes": [request_class("lectura", "idempotent"), request_class("consigna", "at_most_once")],
         "family-info": {"idle-life-ms": 5000.0, "may-load": False, "memory-mb-by-kind": [8000.0, 9000.0]},
         "limits": {"cancel": True, "max-attempts": 3, "retry-after": True, "max-retry-after-ms": 2000.0,
                    "streams-per-conn": 32, "conn-idle-ms": 30000.0, "dial-timeout-ms": 250.0},
@@ -150,10 +150,10 @@
     writer.transport.abort()
 
 
-def fields(id_, band="lectura", wait="1000", **more):
+def fields(id_, request_class="lectura", wait="1000", **more):
     """The parameters of a usual request; a value of None leaves one out."""
     found = {
-        "SCRIPT_NAME": f"/api/v2/{band}", "REQUEST_METHOD": "POST", "HTTP_REQ_ID": id_,
+        "SCRIPT_NAME": f"/api/v2/{request_class}", "REQUEST_METHOD": "POST", "HTTP_REQ_ID": id_,
         "HTTP_REQ_WAIT_MS": wait, "HTTP_REQ_OWNER": "acme", "HTTP_REQ_KEY": KEY, "HTTP_REQ_COST": "8.2",
         "HTTP_X_TAGS": "memory_mb:512;lanes:2;load_ms:300", **more,
     }  # fmt: skip
--- a/tests/socketbench.py
+++ b/tests/socketbench.py
@@ -121,12 +121,14 @@
         await self.client.connect("127.0.0.1", port)
         return self
 
-    def publish(self, band="lectura", key="", timeout=2_000, qos=1, topic="", payload=b"x", user=()):
+    def publish(self, request_class="lectura", key="", timeout=2_000, qos=1, topic="", payload=b"x", user=()):
         self.count += 1
         corr = f"q{self.count}"
         pairs = [("timeout-ms", str(timeout)), *user, *([("key", key)] if key else [])]
         properties = {"response_topic": "answers/c", "correlation_data": corr.encode(), "user": pairs}
-        self.client.publish(Publish(topic or f"calls/t/{band}/f", payload, qos, properties=properties))
+        self.client.publish(
+            Publish(topic or f"calls/t/{request_class}/f", payload, qos, properties=properties)
+        )
         return corr
 
     async def answer(self, corr, within=5.0):
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -580,8 +580,8 @@
 
             async def steady():
                 while not stop.is_set():
-                    band = "consigna" if len(asks) % 2 else "lectura"
-                    asks.append(asker.publish(band, f"k{len(asks)}", 2_900, body=b"x" * 3_000))
+                    request_class = "consigna" if len(asks) % 2 else "lectura"
+                    asks.append(asker.publish(request_class, f"k{len(asks)}", 2_900, body=b"x" * 3_000))
                     await asyncio.sleep(0.12)
 
             load = asyncio.ensure_future(steady())
--- a/tests/test_amqp_decisions.py
+++ b/tests/test_amqp_decisions.py
@@ -144,12 +144,17 @@
 def test_a_message_as_a_trigger():
     headers = {"key": "k", "timeout-ms": 900, "memory-mb": 5, "lanes": "2", "attempt": 1}
     trigger, age = read(Properties(headers=headers, reply_to="r", correlation_id="c"), again=True)
-    assert (trigger.tenant, trigger.band, trigger.function, trigger.key) == ("t", "lectura", "heat/f", "k")
+    assert (trigger.tenant, trigger.request_class, trigger.function, trigger.key) == (
+        "t",
+        "lectura",
+        "heat/f",
+        "k",
+    )
     assert (trigger.left_us, trigger.memory_mb, trigger.lanes, trigger.again) == (900_000, 5.0, 2, True)
     assert age is None
     named = {"tenant": "a", "class": "consigna", "function": "x.y", "key": "k"}
     trigger, _ = read(Properties(headers=named), key="queue-by-name")
-    assert (trigger.tenant, trigger.band, trigger.function) == ("a", "consigna", "x.y")
+    assert (trigger.tenant, trigger.request_class, trigger.function) == ("a", "consigna", "x.y")
     assert read(Properties(message_id="m"))[0].key == "m"
 
 
@@ -219,8 +224,8 @@
     def wall_ms(self):
         return 1e12
 
-    def effect(self, band):
-        return {"lectura": Effect.SAFE, "consigna": Effect.UNSAFE}.get(band)
+    def effect(self, request_class):
+        return {"lectura": Effect.SAFE, "consigna": Effect.UNSAFE}.get(request_class)
 
     def load(self):
         return self.running
@@ -257,11 +262,11 @@
         self.consumer.event(Incoming(channel, method, properties, body))
         self.consumer.after_batch()
 
-    def deliver(self, band="lectura", key="", corr="", again=False, body=b"x", **more):
+    def deliver(self, request_class="lectura", key="", corr="", again=False, body=b"x", **more):
         self.tag += 1
         headers = {"key": key or f"k{self.tag}"} | more
         properties = Properties(headers=headers, reply_to="r", correlation_id=corr or f"q{self.tag}")
-        deliver = codec.Deliver("b-0", self.tag, again, "calls", f"calls.t.{band}.f")
+        deliver = codec.Deliver("b-0", self.tag, again, "calls", f"calls.t.{request_class}.f")
         self.give(deliver, CONSUME, properties, body)
         return self.tag
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -24,8 +24,16 @@
     return sorted(out, key=lambda event: event["t"])
 
 
-def attempt(corr="k.0", key="k", band="unsafe", t=10, until=1_000, client="c", **more):
-    base = {"ev": "try", "corr": corr, "key": key, "band": band, "client": client, "t": t, "until": until}
+def attempt(corr="k.0", key="k", request_class="unsafe", t=10, until=1_000, client="c", **more):
+    base = {
+        "ev": "try",
+        "corr": corr,
+        "key": key,
+        "band": request_class,
+        "client": client,
+        "t": t,
+        "until": until,
+    }
     return base | {"worth": 1.0, "wanted": 500, "tenant": "e", **more}
 
 
@@ -37,8 +45,8 @@
     return {"ev": "recv", "t": t, "gw": "gw", "worker": worker, "call": call, "key": "k", "band": "unsafe"}
 
 
-def ran(t, call="gw/c1/0", key="k", band="unsafe"):
-    return {"ev": "ran", "t": t, "worker": "w1", "call": call, "key": key, "band": band}
+def ran(t, call="gw/c1/0", key="k", request_class="unsafe"):
+    return {"ev": "ran", "t": t, "worker": "w1", "call": call, "key": key, "band": request_class}
 
 
 def told(t, state, worker="w1"):
@@ -101,7 +109,8 @@
         # And a broker gives the refusal once more, marked, after the retry has run.
         [attempt(), answer(20, "refused"), attempt("k.1", t=30), recv(31), ran(40), answer(50, corr="k.1"),
          answer(60, "refused", dup=True)],
-        [attempt(band="safe"), ran(15, band="safe"), ran(16, "gw/c2/0", band="safe"), answer(20)],
+        [attempt(request_class="safe"), ran(15, request_class="safe"), ran(16, "gw/c2/0", request_class="safe"),
+         answer(20)],
         [told(10, "draining"), recv(400_000)],
         [told(10, "draining"), told(20, "running"), recv(600_000)],
         [told(10, "gone"), {"ev": "started", "t": 50, "worker": "w1"}, recv(600_000)],
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -134,7 +134,7 @@
 
 def test_an_answer_after_the_end_and_a_client_gone_in_the_same_batch() -> None:
     bench = Bench()
-    (send,) = only(bench.call(band="unsafe", left=300_000), io.Send)
+    (send,) = only(bench.call(request_class="unsafe", left=300_000), io.Send)
     assert only(bench.wait(300_000), io.Fail) == [io.Fail("r1")]
     ok = io.Outcome(send.id, 0, send.worker, Status.OK, 1, True, 0, ())
     assert bench.do(io.Left("r1"), ok, ok, io.Left("r1")) == []
@@ -156,14 +156,14 @@
 @pytest.mark.parametrize("status", [Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CANCELLED])
 def test_unsafe_is_failed_not_repeated_when_it_may_have_run(status: Status) -> None:
     bench = Bench()
-    (send,) = only(bench.call(band="unsafe"), io.Send)
+    (send,) = only(bench.call(request_class="unsafe"), io.Send)
     assert bench.answer(send, status) == [io.Fail("r1")]
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.CONNECT_FAILED, Status.MISS, Status.MOOT])
 def test_unsafe_is_sent_again_when_it_is_known_not_to_have_run(status: Status) -> None:
     bench = Bench()
-    (send,) = only(bench.call(band="unsafe"), io.Send)
+    (send,) = only(bench.call(request_class="unsafe"), io.Send)
     bench.answer(send, status)
     bench.wait(500_000)
     assert [s.id for s in only(bench.all, io.Send)] == ["r1", "r1"]
@@ -171,13 +171,13 @@
 
 def test_keyed_is_repeated_only_in_its_cell_and_while_it_is_remembered() -> None:
     bench = Bench(workers=(entry("a", cell=1), entry("b", cell=2)))
-    (send,) = only(bench.call(band="keyed"), io.Send)
+    (send,) = only(bench.call(request_class="keyed"), io.Send)
     bench.answer(send, Status.ERROR)
     bench.wait(2_500_000)
     repeats = only(bench.all, io.Send)[1:]
     assert {repeat.worker for repeat in repeats} <= {send.worker}
     bench = Bench(workers=(entry("a", cell=1),))
-    (send,) = only(bench.call(band="keyed"), io.Send)
+    (send,) = only(bench.call(request_class="keyed"), io.Send)
     bench.wait(1_997_000)
     bench.answer(send, Status.ERROR)
     assert len(only(bench.all, io.Send)) == 1
@@ -510,7 +510,7 @@
     for position in range(20):
         bench = Bench(replace(PLAIN, position=position, second_copies=False), ("a",))
         for number in range(14):
-            (send,) = only(bench.call(band="unsafe"), io.Send)
+            (send,) = only(bench.call(request_class="unsafe"), io.Send)
             us = slow if number == 12 else 150_000
             bench.wait(us)
             bench.answer(send, us=us)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,8 +17,13 @@
 OTHER = replace(
     PLAIN,
     classes=tuple(
-        replace(band, name=name, target_us=2 * band.target_us, deadline_us=2 * band.deadline_us)
-        for name, band in (("lectura", SAFE), ("asiento", KEYED))
+        replace(
+            request_class,
+            name=name,
+            target_us=2 * request_class.target_us,
+            deadline_us=2 * request_class.deadline_us,
+        )
+        for name, request_class in (("lectura", SAFE), ("asiento", KEYED))
     ),
     tenants=(io.Tenant("otra", 0.5, 5.0), io.Tenant("tercera", 0.5, 5.0)),
     zone="norte",
@@ -61,10 +66,19 @@
             self._do(ports.AttemptEnd(start.id, start.number, status, ran, b"x", latency))
         else:
             self.count += 1
-            band = self.chance.choice(self.settings.classes)
+            request_class = self.chance.choice(self.settings.classes)
             tenant = self.chance.choice(self.settings.tenants).name
             function = f"{tenant}-{self.chance.randrange(5)}"
-            trigger = Trigger(f"s{self.count}", None, band.name, tenant, function, "", b"", band.deadline_us)
+            trigger = Trigger(
+                f"s{self.count}",
+                None,
+                request_class.name,
+                tenant,
+                function,
+                "",
+                b"",
+                request_class.deadline_us,
+            )
             self._do(ports.Arrive(replace(trigger, memory_mb=50.0, lanes=2)))
 
 
@@ -144,11 +158,11 @@
     def _call(self, at):
         self._later(self.chance.expovariate(self.PER_S), self._call, at)
         self.number += 1
-        band = self.chance.choice(("safe", "keyed", "unsafe"))
+        request_class = self.chance.choice(("safe", "keyed", "unsafe"))
         function = f"f{min(self.chance.randrange(self.FUNCTIONS), self.chance.randrange(self.FUNCTIONS))}"
         trigger = Trigger(
-            f"s{self.number}", (self.now, band), band, "", function, f"k{self.number}", b"", 3_000_000,
-            memory_mb=50.0, lanes=4, load_us=self.LOAD_US,
+            f"s{self.number}", (self.now, request_class), request_class, "", function, f"k{self.number}", b"",
+            3_000_000, memory_mb=50.0, lanes=4, load_us=self.LOAD_US,
         )  # fmt: skip
         self._step(at, ports.Arrive(trigger))
 
@@ -161,8 +175,8 @@
                 wait = self._stands(out.worker, out.function)[0] - self.now
                 self._later(wait / 1e6, self._step, at, ports.OrderEnd(out.number, Status.OK, 1, wait))
             elif isinstance(out, ports.Reply):
-                sent, band = out.trigger.ref
-                self.replies.append((sent, band, out.answer.kind, self.now - sent))
+                sent, request_class = out.trigger.ref
+                self.replies.append((sent, request_class, out.answer.kind, self.now - sent))
 
     def _stands(self, worker, function):
         """From when a copy stands, and what an answer says of it."""
@@ -181,7 +195,7 @@
         if failed:
             del self.workers[worker][function]
         else:
-            self.ran.setdefault((start.trigger.band, key), []).append(worker)
+            self.ran.setdefault((start.trigger.request_class, key), []).append(worker)
         took = (self.LOAD_US if failed else stands - self.now + self.WORK_US) / 1e6
         note = 0 if failed else found
         end = ports.AttemptEnd(start.id, start.number, status, ran, b"", int(took * 1e6), note)
@@ -211,7 +225,9 @@
             window = sum(at - 10_000_000 < other <= at for other in having.orders)
             assert window <= Quiet.ROUTERS * (4 + 1) + 0.2 * came
         # Rule 2: what is unsafe ran once at most, what is keyed in one group.
-        assert all(len(ran) == 1 for (band, _), ran in having.ran.items() if band == "unsafe")
+        assert all(
+            len(ran) == 1 for (request_class, _), ran in having.ran.items() if request_class == "unsafe"
+        )
         for engine in having.engines:
             router = engine.router
             workers = router.workers.values()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -51,8 +51,8 @@
 def patient(dial_ms=8_000.0, deadline_ms=6_000.0, **more):
     """Settings under which a connection may take long to come up, and a call may wait for it."""
     found = settings(**more)
-    for band in found["lanes"]:
-        band |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
+    for request_class in found["lanes"]:
+        request_class |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
     found["limits"] |= {"dial-timeout-ms": dial_ms}
     return found
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -423,8 +423,8 @@
     chance = random.Random(5)
     play = Play(workers=["a", "b"])
     for number in range(300):
-        band = chance.choice(["safe", "keyed", "unsafe"])
-        play.call(band, f"k{number}", left=chance.randrange(50_000, 900_000))
+        request_class = chance.choice(["safe", "keyed", "unsafe"])
+        play.call(request_class, f"k{number}", left=chance.randrange(50_000, 900_000))
         play.wait(chance.randrange(0, 20_000), 5_000)
         for start in only(play.out, ports.Start):
             if chance.random() < 0.6:
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -178,7 +178,12 @@
     trigger = rq.read(
         {k.encode(): v.encode() for k, v in fields(ID).items()}, b"\0body", CONTRACT, "1/1", None
     )
-    assert (trigger.key, trigger.band, trigger.tenant, trigger.payload) == (ID, "lectura", "acme", b"\0body")
+    assert (trigger.key, trigger.request_class, trigger.tenant, trigger.payload) == (
+        ID,
+        "lectura",
+        "acme",
+        b"\0body",
+    )
     assert (trigger.left_us, trigger.hint_us, trigger.memory_mb, trigger.lanes, trigger.load_us) == (
         1_000_000, 8_200, 512.0, 2, 300_000,
     )  # fmt: skip
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,9 +38,12 @@
     chance = random.Random(seed)
     play = Play(settings, workers=[f"w{n}" for n in range(6)])
     for number in range(120):
-        band = chance.choice(["safe", "keyed", "unsafe"])
+        request_class = chance.choice(["safe", "keyed", "unsafe"])
         play.call(
-            band, f"k{number}", function=f"f{chance.randrange(9)}", left=chance.randrange(300_000, 3_000_000)
+            request_class,
+            f"k{number}",
+            function=f"f{chance.randrange(9)}",
+            left=chance.randrange(300_000, 3_000_000),
         )
         play.wait(chance.randrange(0, 30_000), 5_000)
         for start in only(play.out, ports.Start):
@@ -272,13 +275,15 @@
     writer.write(http(b"%d" % number))
 
 
-async def steady(console, seconds, kinds, band="consigna"):
+async def steady(console, seconds, kinds, request_class="consigna"):
     """Calls one after the other; each must be answered once."""
     until = time.monotonic() + seconds
     number = 0
     while time.monotonic() < until:
         number += 1
-        kinds.append(await console.call(band, f"{band}-{id(console)}-{number}", timeout=2_900))
+        kinds.append(
+            await console.call(request_class, f"{request_class}-{id(console)}-{number}", timeout=2_900)
+        )
 
 
 def calm(kinds):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -196,9 +196,14 @@
     return one
 
 
-def asks(world, one, number=0, band="safe"):
+def asks(world, one, number=0, request_class="safe"):
     got = []
-    one.run("gw", f"c{number}", Work(f"c{number}", "f", 0.0, key=f"k{number}", band=band), got.append)
+    one.run(
+        "gw",
+        f"c{number}",
+        Work(f"c{number}", "f", 0.0, key=f"k{number}", request_class=request_class),
+        got.append,
+    )
     return got
 
 
@@ -208,8 +213,8 @@
     got = asks(world, one)
     world.run(world.now + 1_000_000)
     assert got[0].found == "loaded" and got[0].verdict == "" and got[0].body
-    one.fault("full", 1.0, band="safe")
-    assert asks(world, one)[0].verdict == "full" and not asks(world, one, band="other")
+    one.fault("full", 1.0, request_class="safe")
+    assert asks(world, one)[0].verdict == "full" and not asks(world, one, request_class="other")
     world.run(world.now + 2_000_000)
     for fault, check in (
         ("reset", lambda got: got[0].lost),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -198,7 +198,7 @@
     keyed = io.RequestClass("keyed", 800_000, 3_000_000, io.Effect.KEYED, scope, 2_000_000, False, 1.0, 0.1)
     here, there = entry("a", cell=1), replace(entry("b", cell=2), zone="y")
     bench = Bench(replace(PLAIN, classes=(keyed,)), workers=(here, there))
-    (send,) = only(bench.call(band="keyed"), io.Send)
+    (send,) = only(bench.call(request_class="keyed"), io.Send)
     own = here if send.worker == "a" else there
     bench.do(io.Members(io.ListKind.DELTA, (replace(own, state=io.State.GONE),)))
     bench.answer(send, Status.ERROR)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -11,8 +11,8 @@
 from swiftwell.workers.link import Link, LinkBounds
 
 
-def trigger(band="lectura"):
-    return Trigger("s", None, band, "t", "f/ü x", "k\r\nx: y", b"in", 1_000_000)
+def trigger(request_class="lectura"):
+    return Trigger("s", None, request_class, "t", "f/ü x", "k\r\nx: y", b"in", 1_000_000)
 
 
 async def attempt(address, number=0, bounds=None, abandon_after=None, link=None, wait=5.0):
--- a/tests/test_mqtt_session.py
+++ b/tests/test_mqtt_session.py
@@ -96,7 +96,7 @@
 def test_a_message_of_five_becomes_a_trigger():
     user = [("key", "k1"), ("timeout-ms", "800"), ("attempt", "1"), ("lanes", "4")]
     trigger, ref = read(message(user, response_topic="answers/c", correlation_data=b"\1"))
-    assert (trigger.tenant, trigger.band, trigger.function) == ("estate", "lectura", "heat/a")
+    assert (trigger.tenant, trigger.request_class, trigger.function) == ("estate", "lectura", "heat/a")
     assert (trigger.key, trigger.left_us, trigger.again, trigger.lanes) == ("k1", 800_000, True, 4)
     assert trigger.memory_mb == 400.0 and trigger.load_us == 700_000 and trigger.payload == b"in"
     back = contract.answer(ref, Answer(Kind.REFUSED, "not-run", wait_us=1_500))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -79,8 +79,8 @@
     run(main())
 
 
-@pytest.mark.parametrize("band, tries", [("consigna", 1), ("lectura", 3)])
-def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(tmp_path, band, tries):
+@pytest.mark.parametrize("request_class, tries", [("consigna", 1), ("lectura", 3)])
+def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(tmp_path, request_class, tries):
     async def main():
         async def broke(worker, writer, words):
             writer.write(said(words[1], b"BROKE"))
@@ -92,10 +92,12 @@
             router(tmp_path, [one.port, two.port, three.port]) as node,
             Front(node.port) as front,
         ):
-            status, told, _ = await front.ask(1, fields(id_(1), band))
+            status, told, _ = await front.ask(1, fields(id_(1), request_class))
             assert sum(len(worker.runs()) for worker in (one, two, three)) == tries
             # An unsafe one is no refusal either: a refusal would say that a retry is harmless.
-            assert status == (502 if band == "consigna" else 503) and ("Srv-Wait-Ms" in told) == (tries > 1)
+            assert status == (502 if request_class == "consigna" else 503) and ("Srv-Wait-Ms" in told) == (
+                tries > 1
+            )
 
     run(main())
 
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -20,7 +20,7 @@
 
 def test_the_settings_go_through_the_reader_of_the_wire():
     told = config.read(json.dumps(document([7001])).encode(), "f")
-    assert [band.name for band in told.settings.classes] == ["lectura", "consigna"]
+    assert [request_class.name for request_class in told.settings.classes] == ["lectura", "consigna"]
     assert (
         told.settings.classes[1].effect.name == "UNSAFE" and told.settings.classes[0].deadline_us == 1_500_000
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from swiftwell.interface import Effect, State, Status
 
 NAMES = ("a", "b", "c", "d")
-BANDS = tuple(
+REQUEST_CLASSES = tuple(
     replace(
         SAFE, name=f"{effect.name} {scope}", effect=effect, scope=scope, memory_us=400_000, streamed=streamed
     )
@@ -25,7 +25,7 @@
 )
 TOLD = st.builds(
     replace,
-    st.just(replace(PLAIN, classes=BANDS, load_free=2.0, load_share=0.2)),
+    st.just(replace(PLAIN, classes=REQUEST_CLASSES, load_free=2.0, load_share=0.2)),
     tenants=st.sampled_from([(), (io.Tenant("t", 0.5, 1.0),)]),
     routers=st.integers(1, 4),
     may_load=st.booleans(),
@@ -60,9 +60,9 @@
         self.seen = 0
         self.check()
 
-    def group(self, band: io.RequestClass, name: str) -> object:
+    def group(self, request_class: io.RequestClass, name: str) -> object:
         known = self.entries[name]
-        return {"all": 0, "zone": known.zone, "cell": known.cell}[band.scope]
+        return {"all": 0, "zone": known.zone, "cell": known.cell}[request_class.scope]
 
     def check(self) -> None:
         now, fresh = self.bench.now, self.bench.all[self.seen :]
@@ -85,28 +85,34 @@
     def streams(self, name: str) -> bool:
         return any(send["streams"] for send in self.sends[name])
 
-    def band(self, name: str) -> io.RequestClass:
-        return next(band for band in BANDS if band.name == self.open[name].band)
+    def request_class(self, name: str) -> io.RequestClass:
+        return next(
+            request_class
+            for request_class in REQUEST_CLASSES
+            if request_class.name == self.open[name].request_class
+        )
 
     def check_send(self, act: io.Send, now: int) -> None:
         assert act.id in self.open
         assert self.entries[act.worker].state is State.READY
-        band, before = self.band(act.id), self.sends[act.id]
+        request_class, before = self.request_class(act.id), self.sends[act.id]
         assert len(before) < self.told.max_attempts
         assert self.told.second_copies or not any(send["out"] for send in before)
         risky = [send for send in before if send["out"] or send["ran"]]
-        if band.effect is Effect.UNSAFE:
+        if request_class.effect is Effect.UNSAFE:
             assert not risky
-        if band.effect is Effect.KEYED and risky:
-            assert self.group(band, act.worker) == self.group(band, risky[0]["worker"])
-            assert now < risky[0]["at"] + band.memory_us
+        if request_class.effect is Effect.KEYED and risky:
+            assert self.group(request_class, act.worker) == self.group(request_class, risky[0]["worker"])
+            assert now < risky[0]["at"] + request_class.memory_us
         before.append({"worker": act.worker, "at": now, "out": True, "ran": False, "streams": False})
 
     def check_end(self, act: io.Refuse | io.Fail, now: int) -> None:
-        band = self.band(act.id)
+        request_class = self.request_class(act.id)
         risky = any(send["out"] or send["ran"] for send in self.sends[act.id])
         if isinstance(act, io.Refuse) and risky:
-            assert band.effect is Effect.SAFE or (band.effect is Effect.KEYED and band.scope == "all")
+            assert request_class.effect is Effect.SAFE or (
+                request_class.effect is Effect.KEYED and request_class.scope == "all"
+            )
         del self.open[act.id]
 
     def check_load(self, act: io.Load, now: int) -> None:
@@ -124,10 +130,10 @@
     def step(self, kind: int, x: int, y: int, ms: int) -> None:
         bench = self.bench
         if kind <= 2:
-            name, band = f"r{bench.count + 1}", BANDS[x % len(BANDS)]
+            name, request_class = f"r{bench.count + 1}", REQUEST_CLASSES[x % len(REQUEST_CLASSES)]
             left = (0, 3_000, 60_000, 900_000, 3_000_000)[y % 5]
             request = io.Request(
-                name, band.name, "t", f"f{y % 3}", left, 0, 100.0 * (1 + y % 4), 1 + x % 3, 0, False
+                name, request_class.name, "t", f"f{y % 3}", left, 0, 100.0 * (1 + y % 4), 1 + x % 3, 0, False
             )
             bench.count += 1
             self.open[name], self.begun[name], self.sends[name] = request, bench.now, []
@@ -158,10 +164,12 @@
             return
         name, number = out[x % len(out)]
         send = self.sends[name][number]
-        band = (
-            next(b for b in BANDS if b.streamed) if name in self.open and self.band(name).streamed else None
+        request_class = (
+            next(b for b in REQUEST_CLASSES if b.streamed)
+            if name in self.open and self.request_class(name).streamed
+            else None
         )
-        if band and y % 3 == 0 and not send["streams"]:
+        if request_class and y % 3 == 0 and not send["streams"]:
             send["streams"] = True
             self.bench.do(io.First(name, number, send["worker"]))
             return
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,7 +24,11 @@
 
 def test_the_example_passes_and_says_what_the_module_is_told():
     told = site.load(EXAMPLE).told()
-    assert told.routers == 3 and [band.name for band in told.classes] == ["lectura", "consulta", "consigna"]
+    assert told.routers == 3 and [request_class.name for request_class in told.classes] == [
+        "lectura",
+        "consulta",
+        "consigna",
+    ]
     assert told.classes[2].effect.value == "at_most_once" and told.cold_us == 17_000_000
     result = CliRunner().invoke(main, ["check", str(EXAMPLE)])
     assert result.exit_code == 0 and "good" in result.output
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -18,8 +18,8 @@
 
 def short(deadline_ms):
     found = settings()
-    for request_class in found["lanes"]:
-        request_class |= {"target-ms": deadline_ms / 2, "deadline-ms": deadline_ms}
+    for lane in found["lanes"]:
+        lane |= {"target-ms": deadline_ms / 2, "deadline-ms": deadline_ms}
     return found
 
 
@@ -38,8 +38,10 @@
                 self.asked += 1
                 self.last_sent = time.monotonic()
                 try:
-                    band = "consigna" if self.asked % 7 == 0 else "lectura"
-                    ask = fields(id_(self.number * 100_000 + self.asked), band, wait=str(self.wait_ms))
+                    request_class = "consigna" if self.asked % 7 == 0 else "lectura"
+                    ask = fields(
+                        id_(self.number * 100_000 + self.asked), request_class, wait=str(self.wait_ms)
+                    )
                     status, _, _ = await front.ask(1, ask)
                 except ConnectionError:
                     self.reset = True
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -48,9 +48,9 @@
 def three(rate=10.0, memory=10_000.0, order=("low", "high")):
     places = tuple(Place(name, 4.0, memory) for name in "abc")
     demands = tuple(
-        Demand(band, "", name, rate, 0.1, worth, 5, 100.0)
+        Demand(request_class, "", name, rate, 0.1, worth, 5, 100.0)
         for name in "abc"
-        for band, worth in (("low", 1.0), ("high", 5.0))
+        for request_class, worth in (("low", 1.0), ("high", 5.0))
     )
     return Sites(places, demands, order)
 
@@ -87,7 +87,7 @@
     bound = Sites(sites.places, sites.demands, (), {}, {"a": ("a",)})
     told = plan(bound, ("a",))
     assert {one.origin for one in told.flows} == {"b", "c"}
-    assert [one.band for one in admission(bound, told)] == ["low", "high"]
+    assert [one.request_class for one in admission(bound, told)] == ["low", "high"]
 
 
 @settings(max_examples=40, deadline=None)
@@ -114,15 +114,15 @@
                 assert told.work[place.name] <= HEADROOM + 1e-3
                 assert told.memory[place.name] <= memory * 1.001 + 1
         for demand in demands:
-            which = demand.band, demand.place
+            which = demand.request_class, demand.place
             sent = sum(one.rate for one in told.flows if (one.band, one.origin) == which)
-            came = sum(one.rate for one in demands if (one.band, one.place) == which)
+            came = sum(one.rate for one in demands if (one.request_class, one.place) == which)
             assert sent <= came * 1.001 + 1e-3
     # Without limits of memory the order is strict: a class is cut only where those before it get nothing.
     roomy = Sites(tuple(Place(p.name, p.work, 1e9) for p in places), demands)
     for told in plans(roomy):
         order = sacrifice(roomy)
-        cut = [band for band in order if told.admitted[band, ""] < 0.999]
+        cut = [request_class for request_class in order if told.admitted[request_class, ""] < 0.999]
         for earlier, later in itertools.pairwise(order):
             if later in cut:
                 assert told.admitted[earlier, ""] < 0.02, (order, told.admitted)
@@ -371,7 +371,7 @@
             one.ended(not late)
         now += STEP_US
         assert one.look(now)
-        parts.append([round(one.part(rank.band, ""), 2) for rank in ORDER])
+        parts.append([round(one.part(rank.request_class, ""), 2) for rank in ORDER])
     assert parts[0] == [0.1, 1.0, 1.0] and parts[1] == [0.0, 0.67, 1.0] and parts[2] == [0.0, 0.17, 1.0]
     assert parts[3] == [0.0, 0.27, 1.0]
     assert all(a <= b <= c for a, b, c in parts)  # no inversion at any step
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -64,9 +64,9 @@
         for number in numbers:
             self.asked += 1
             ids[number] = id_(self.number * 1_000_000 + self.asked)
-            band = "consigna" if self.chance.random() < 0.2 else "lectura"
+            request_class = "consigna" if self.chance.random() < 0.2 else "lectura"
             wait = str(self.chance.randint(self.deadline_ms // 2, self.deadline_ms))
-            front.writer.write(request(number, fields(ids[number], band, wait=wait)))
+            front.writer.write(request(number, fields(ids[number], request_class, wait=wait)))
         for number in numbers:
             try:
                 status, _, _ = await front.answer(number)
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -380,7 +380,7 @@
 
 def test_a_keyed_call_is_not_repeated_where_another_group_may_have_taken_the_address():
     bench = Bench(workers=(entry("a", cell=1), entry("b", cell=1)))
-    (send,) = only(bench.call(band="keyed"), io.Send)
+    (send,) = only(bench.call(request_class="keyed"), io.Send)
     bench.do(io.Restarted("a"), io.Restarted("b"))
     bench.answer(send, Status.ERROR)
     bench.wait(500_000)
@@ -392,7 +392,7 @@
     short = replace(PLAIN, classes=(replace(KEYED, memory_us=200_000),))
     for spent_us, sends in ((150_000, 2), (250_000, 1)):
         bench = Bench(short, (entry("a", cell=1), entry("b", cell=1)))
-        (send,) = only(bench.call(band="keyed"), io.Send)
+        (send,) = only(bench.call(request_class="keyed"), io.Send)
         bench.wait(spent_us)
         bench.answer(send, Status.ERROR)
         assert len(only(bench.all, io.Send)) == sends
