--- a/swiftwell/cli/sites.py
+++ b/swiftwell/cli/sites.py
@@ -84,7 +84,8 @@
         sys.exit(2)
     return [
         LossPlan(
-            tuple(row.lost), (), {(request_class, tenant): part for request_class, tenant, part in row.admitted},
+            tuple(row.lost), (),
+            {(request_class, tenant): part for request_class, tenant, part in row.admitted},
             row.worth, row.work, row.memory, row.missing_work, row.missing_mb,
         )
         for row in rows
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -428,8 +428,9 @@
         self._events.append(
             io.Request(
                 id=call.id, request_class=trigger.request_class, tenant=trigger.tenant,
-                function=trigger.function, left_us=call.deadline_us - self._now, hint_us=trigger.hint_us, memory_mb=trigger.memory_mb, lanes=max(1, trigger.lanes),
-                load_us=trigger.load_us, repeated=trigger.again,
+                function=trigger.function, left_us=call.deadline_us - self._now, hint_us=trigger.hint_us,
+                memory_mb=trigger.memory_mb, lanes=max(1, trigger.lanes), load_us=trigger.load_us,
+                repeated=trigger.again,
             )
         )  # fmt: skip
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -109,8 +109,8 @@
         # And a broker gives the refusal once more, marked, after the retry has run.
         [attempt(), answer(20, "refused"), attempt("k.1", t=30), recv(31), ran(40), answer(50, corr="k.1"),
          answer(60, "refused", dup=True)],
-        [attempt(request_class="safe"), ran(15, request_class="safe"), ran(16, "gw/c2/0", request_class="safe"),
-         answer(20)],
+        [attempt(request_class="safe"), ran(15, request_class="safe"),
+         ran(16, "gw/c2/0", request_class="safe"), answer(20)],
         [told(10, "draining"), recv(400_000)],
         [told(10, "draining"), told(20, "running"), recv(600_000)],
         [told(10, "gone"), {"ev": "started", "t": 50, "worker": "w1"}, recv(600_000)],
