--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -1,4 +1,4 @@
-"""Every decision of a swiftwell router; its types are in swiftwell/interface.py, its books in records.py.
+"""Every decision of a swiftwell router; its types are in swiftwell/interface.py, its tables in router_state."""
 
 Punica's rule (5.1): a request goes to the worker that holds most of our own in-flight requests and has room,
 warm workers first; when none has room it is held, first come first served.  Everything else here narrows who
@@ -13,7 +13,7 @@
 from operator import attrgetter
 
 from swiftwell import interface as io
-from swiftwell import records as rec
+from swiftwell import router_state as rs
 from swiftwell.interface import Effect, ListKind, State, Status
 from swiftwell.placement import CANDIDATES, SPLIT, Ring
 
@@ -51,7 +51,7 @@
 SWEEP_US = 1_000_000  # us between looks at paces and old records, and between calls to a failing discovery
 
 
-class Router(rec.Books):
+class Router(rs.RouterState):
     """One router's decisions: `handle` takes a batch of events and gives the actions."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
@@ -61,12 +61,12 @@
         self.takers = {io.Request: self._request, io.Outcome: self._outcome}
         self.takers |= {io.Loaded: self._loaded, io.Members: self._members}
         self.takers |= {io.Restarted: self._restarted, io.ListState: self._list_state}
-        self.retries = rec.Budget(RETRY_BURST, RETRY_BURST)
-        self.orders_left = rec.Budget(MOST_ORDERS, 1.0)
+        self.retries = rs.TokenBucket(RETRY_BURST, RETRY_BURST)
+        self.orders_left = rs.TokenBucket(MOST_ORDERS, 1.0)
         self.latency = FIRST_LATENCY * min(
             (request_class.target_us for request_class in settings.classes), default=1_000_000
         )
-        self.traffic, self.served = rec.Rate(RATE_US), rec.Rate(RATE_US)
+        self.traffic, self.served = rs.DecayingRate(RATE_US), rs.DecayingRate(RATE_US)
         self.usual = {
             request_class.name: FIRST_LATENCY * request_class.target_us for request_class in settings.classes
         }
@@ -96,16 +96,16 @@
             # Who asks seldomer than told counts as told of what went unheard.
             self._after(min(SWEEP_US, self.told.ask_within_us or SWEEP_US), self._watch)
             return
-        self.ring.update([self._entry(entry) for entry in rec.listed(event, self.workers)])
+        self.ring.update([self._entry(entry) for entry in rs.listed(event, self.workers)])
         self.listing += 1
 
-    def _entry(self, entry: io.WorkerEntry) -> rec.Worker:
+    def _entry(self, entry: io.WorkerEntry) -> rs.Worker:
         worker = self.workers.get(entry.worker)
         warm_at = entry.started_us + self.told.cold_us if entry.started_us else 0
         if worker is None:
-            order = rec.stable_hash(f"{entry.worker}/{self.told.position}")
+            order = rs.stable_hash(f"{entry.worker}/{self.told.position}")
             memory = dict(self.told.kind_memory_mb).get(entry.kind, math.inf)
-            worker = rec.Worker(entry, rec.stable_hash(entry.worker), order, memory, FIRST_CAP)
+            worker = rs.Worker(entry, rs.stable_hash(entry.worker), order, memory, FIRST_CAP)
             self.workers[entry.worker], worker.warm_at = worker, warm_at
         elif entry.started_us != worker.entry.started_us:  # beliefs die with the process
             self._forget(worker)
@@ -136,7 +136,7 @@
         )
         if function is None:
             name, load = request.function, request.load_us or LOAD_US
-            function = rec.Function(name, rec.stable_hash(name), load, rec.Rate(RATE_US))
+            function = rs.Function(name, rs.stable_hash(name), load, rs.DecayingRate(RATE_US))
             self.functions[name] = function
         function.memory, function.lanes = request.memory_mb, request.lanes
         function.rate.add(self.now)
@@ -148,14 +148,14 @@
             f"class {request_class.name}",
             f"tenant {request.tenant}",
         )  # what a worker may tell calls apart by
-        call = rec.Call(request, request_class, function, self.seq, self.now, kinds)
+        call = rs.Call(request, request_class, function, self.seq, self.now, kinds)
         self.calls[request.id] = call
         # Two ticks early: timers land on the next tick, and the answer must precede the deadline.
         self._after(request.left_us - 2 * self.told.tick_us, self._finish, call)
         self._after(request.left_us // 2 - 2 * self.told.tick_us, self._half, call)
         self._hold(call)
 
-    def _hold(self, call: rec.Call) -> None:
+    def _hold(self, call: rs.Call) -> None:
         """Put a call in its function's line; one bound to a group waits apart, so that it blocks nobody."""
         bound = call.bound()
         call.held = True
@@ -163,11 +163,11 @@
         line = call.function.name, bound.group if bound else ""
         self.lines.setdefault(line, deque()).append(call)
 
-    def _usual(self, call: rec.Call) -> float:
+    def _usual(self, call: rs.Call) -> float:
         """The usual time of the call's class; at most half of what is wanted, so that a slow fleet serves."""
         return min(self.usual[call.request_class.name], call.request_class.target_us / 2)
 
-    def _in_time(self, call: rec.Call) -> bool:
+    def _in_time(self, call: rs.Call) -> bool:
         """Whether a held call, sent now, would most likely be answered within its wanted time.
 
         A repeat's wanted time began with its first try, so a fleet slow as a whole serves first tries first.
@@ -180,7 +180,7 @@
             usual = least if call.attempts else min(usual, STRAINED * wanted)
         return waited + usual <= wanted and waited + least <= call.request.left_us
 
-    def _head(self, line: rec.Line) -> rec.Call | None:
+    def _head(self, line: rs.QueueKey) -> rs.Call | None:
         """The first call of a line that waits and can still be in time; one that can't is answered now.
 
         Against overload and retries that feed it, as it would take the room of one in time.  Hurts where late
@@ -199,7 +199,7 @@
         del self.lines[line]
         return None
 
-    def _half(self, call: rec.Call) -> None:
+    def _half(self, call: rs.Call) -> None:
         """Half of a call's time is over and nothing was sent: operators want to hear sooner than later.
 
         Where no copy of its function stands anywhere, the other half is most likely a load's as well.
@@ -226,7 +226,7 @@
             self.look_at = self.now + LOOK_US
             self._after(LOOK_US, lambda: None)  # a batch then, to look again
 
-    def _place(self, call: rec.Call) -> bool:
+    def _place(self, call: rs.Call) -> bool:
         """Send a call to the worker chosen for it, or order a copy at a seat and go on holding."""
         function, seats = call.function, self._seats(call)
         worker, warm = self._choose(call, seats)
@@ -242,7 +242,7 @@
         self._send(call, worker, not warm)
         return True
 
-    def _choose(self, call: rec.Call, workers: list[rec.Worker]) -> tuple[rec.Worker | None, bool]:
+    def _choose(self, call: rs.Call, workers: list[rs.Worker]) -> tuple[rs.Worker | None, bool]:
         """The ranking: warm first, then most of our own in flight, then the tie hash."""
         function = call.function
         tried = [a.worker for a in call.attempts if a.out]
@@ -258,7 +258,7 @@
                 best, best_rank = worker, rank
         return best, best_rank[0]
 
-    def _seats(self, call: rec.Call) -> list[rec.Worker]:
+    def _seats(self, call: rs.Call) -> list[rs.Worker]:
         """Where a function may have room: as many of its homes as our own calls need, by the tie hash.
 
         Homes come first in an order that all routers share, so that they meet at copies without talking.
@@ -272,7 +272,7 @@
                 break
         return seats
 
-    def _reach(self, function: rec.Function, usual: float) -> int:
+    def _reach(self, function: rs.Function, usual: float) -> int:
         """How many seats our calls of a function need; its homes come first in its order, ours before all."""
         lanes = HEADROOM * function.rate.per_us(self.now) * usual / function.lanes
         # This call is no sign of others.  Few calls tell little, so in doubt more: hundreds of routers that
@@ -291,20 +291,20 @@
             function.order = sorted(shared[:homes], key=attrgetter("rank")) + shared[homes:]
         return max(1, math.ceil(lanes))
 
-    def _fits(self, worker: rec.Worker, function: rec.Function) -> bool:
+    def _fits(self, worker: rs.Worker, function: rs.Function) -> bool:
         """Cold room: memory for one more copy in our own account, and none coming or just failed."""
         shut = function.name in worker.coming or self.now < worker.shut.get(function.name, 0)
         if shut or self.loading >= MOST_LOADS:
             return False
         return worker.memory_used(self.now) + function.memory <= worker.memory
 
-    def _believe(self, worker: rec.Worker, function: rec.Function, count: int) -> None:
+    def _believe(self, worker: rs.Worker, function: rs.Function, count: int) -> None:
         """A belief rests on a send or an answer and fades past the told idle life."""
         fades = self.now + self.told.idle_life_us
-        worker.copies[function.name] = rec.Belief(count, function.memory, self.now, fades)
+        worker.copies[function.name] = rs.CopyEstimate(count, function.memory, self.now, fades)
         function.holders[worker.entry.worker] = worker
 
-    def _fit(self, call: rec.Call, worker: rec.Worker) -> bool:
+    def _fit(self, call: rs.Call, worker: rs.Worker) -> bool:
         """Whether a worker may have room for a call at all, whatever our own calls take of it."""
         if not worker.ready or self.now < max(worker.rest_until, worker.full_until) or self._suspect(worker):
             return False
@@ -315,29 +315,29 @@
             return False
         return self._admits(call, worker)
 
-    def _serves(self, worker: rec.Worker) -> bool:
+    def _serves(self, worker: rs.Worker) -> bool:
         """Whether it is known not to drain: by the list, or by its own word where the list may be stale."""
         return self.list_serves or self.leases.serves(worker.entry.worker, self.now)
 
     def _any_serves(self) -> bool:
         return self.list_serves or any(map(self._serves, self.ready))
 
-    def _unproven(self, worker: rec.Worker) -> bool:
+    def _unproven(self, worker: rs.Worker) -> bool:
         """Not known to serve, and not to be asked, or asked and silent: as a worker that hangs."""
         if self._serves(worker):
             return False
         return not self.told.may_load or (worker.asked > 0 and self.now - worker.asked >= ANSWER_US)
 
-    def _suspect(self, worker: rec.Worker) -> bool:
+    def _suspect(self, worker: rs.Worker) -> bool:
         """Hung, paused, cut off: old work, no outcomes.  May hurt where one long call is all it has."""
         return worker.inflight > 0 and self.now - max(worker.quiet_since, self.woke) > LATE * self.latency
 
-    def _pace(self, worker: rec.Worker) -> float:
+    def _pace(self, worker: rs.Worker) -> float:
         """How long calls take there against their functions' usual time; old news fade into the kind's."""
         usual = self.kind_pace.get(worker.entry.kind, 1.0)
         return usual + (worker.pace - usual) * math.exp((worker.pace_at - self.now) / PACE_US)
 
-    def _admits(self, call: rec.Call, worker: rec.Worker) -> bool:
+    def _admits(self, call: rs.Call, worker: rs.Worker) -> bool:
         """A slow or starting worker admits only a part of our calls: what it can do of what others can.
 
         Slow, crowded and ageing workers and weak kinds alike: all routers take away the same part, which adds
@@ -350,7 +350,7 @@
         draw = (worker.order ^ call.seq * SPLIT) * SPLIT % 2**64
         return draw < part * 2**64 or len(self.ready) == 1  # nobody else to leave the others to
 
-    def _turn(self, call: rec.Call, worker: rec.Worker, part: float) -> bool:
+    def _turn(self, call: rs.Call, worker: rs.Worker, part: float) -> bool:
         """Whether we have a turn at a starting worker: our part of what the whole fleet may offer it.
 
         Turns come at the pace at which warm workers serve us, times the part that it is of one, and lapse
@@ -369,7 +369,7 @@
         pace = TURNS * max(core, even * part * present * self.told.fall_multiple)
         return worker.turns.open(self.now, pace, self.told.fall_us)
 
-    def _may_send(self, call: rec.Call, worker: rec.Worker) -> bool:
+    def _may_send(self, call: rs.Call, worker: rs.Worker) -> bool:
         """Rule 2: where this call may go, given what its earlier attempts may have done."""
         bound = call.bound()
         if bound is None or call.request_class.effect is Effect.SAFE:
@@ -378,10 +378,10 @@
             return False
         return self.now < bound.sent + call.request_class.memory_us - 2 * self.told.tick_us
 
-    def _send(self, call: rec.Call, worker: rec.Worker, cold: bool) -> None:
+    def _send(self, call: rs.Call, worker: rs.Worker, cold: bool) -> None:
         function = call.function
         call.held = False
-        attempt = rec.Attempt(call, len(call.attempts), worker, self.now, cold)
+        attempt = rs.Attempt(call, len(call.attempts), worker, self.now, cold)
         attempt.group = worker.group(call.request_class)
         worker.turns.used += self.now < worker.warm_at
         call.attempts.append(attempt)
@@ -407,7 +407,7 @@
         if call.ended:
             self._end(call)
 
-    def _learn(self, attempt: rec.Attempt, event: io.Outcome) -> None:
+    def _learn(self, attempt: rs.Attempt, event: io.Outcome) -> None:
         worker, function, now = attempt.worker, attempt.call.function, self.now
         held = dict(event.report).get("rif")
         if held is not None:
@@ -448,7 +448,7 @@
             case Status.TIMEOUT if not attempt.call.ended:
                 self._rest(worker)
 
-    def _timed(self, attempt: rec.Attempt, latency: int) -> None:
+    def _timed(self, attempt: rs.Attempt, latency: int) -> None:
         """Learn from how long an answer took: the class's time, the worker's pace and its cap."""
         worker, request_class = attempt.worker, attempt.call.request_class
         if attempt.sent < self.woke:
@@ -461,17 +461,17 @@
         if step < 0 or worker.inflight + 2 > worker.cap:  # only a cap in use grows
             worker.cap = min(MOST_CAP, max(1.0, worker.cap + step))
 
-    def _strain(self, worker: rec.Worker, ratio: float) -> None:
+    def _strain(self, worker: rs.Worker, ratio: float) -> None:
         """One sign of how busy a worker is, against what is usual: a latency, or the calls it holds."""
         usual, pace = self.kind_pace.setdefault(worker.entry.kind, 1.0), self._pace(worker)
         self.kind_pace[worker.entry.kind] += LEARN * (ratio - usual)
         worker.pace, worker.pace_at = pace + PACE_LEARN * (ratio - pace), self.now
 
-    def _rest(self, worker: rec.Worker) -> None:
+    def _rest(self, worker: rs.Worker) -> None:
         worker.rest_until = self.now + (REST_US << min(worker.failures, REST_DOUBLINGS))
         worker.failures += 1
 
-    def _again(self, call: rec.Call, status: Status) -> None:
+    def _again(self, call: rs.Call, status: Status) -> None:
         """After a failed attempt: another, rationed as attempts feed an overload, or the final answer.
 
         Also after 'full': where all workers are, each pass takes work and may begin a load.  A 'miss' is free
@@ -485,7 +485,7 @@
         else:
             self._hold(call)
 
-    def _late(self, attempt: rec.Attempt) -> None:
+    def _late(self, attempt: rs.Attempt) -> None:
         """An attempt old for its function: the worker looks slower; if suspect, another may start."""
         call, told = attempt.call, self.told
         if not attempt.out or call.ended or call.streaming:
@@ -506,7 +506,7 @@
         elif not told.second_copies and told.may_cancel and self.retries.left >= 1:
             self.actions.append(io.Cancel(call.request.id, attempt.number))
 
-    def _finish(self, call: rec.Call) -> None:
+    def _finish(self, call: rs.Call) -> None:
         """Rule 1: the one final answer, a refusal where it is true that nothing ran.
 
         Where it may, a refusal tells when to come back: on the next tick, or where answers usually take over
@@ -522,7 +522,7 @@
         self.actions.append(io.Refuse(call.request.id, wait) if harmless else io.Fail(call.request.id))
         self._end(call)
 
-    def _order(self, worker: rec.Worker, function: rec.Function) -> bool:
+    def _order(self, worker: rs.Worker, function: rs.Function) -> bool:
         """Order a copy, within the ration (rule 5): every order counts, in a sliding window.
 
         Where workers load by themselves, also within what our calls earn: hundreds of routers with some calls
@@ -536,12 +536,12 @@
             return False
         self.orders.add(self.now)
         self.actions.append(io.Load(worker.entry.worker, name, 1))
-        worker.coming[name] = rec.Belief(1, function.memory, self.now, 0)
+        worker.coming[name] = rs.CopyEstimate(1, function.memory, self.now, 0)
         function.coming, self.loading = function.coming + 1, self.loading + 1
         self._after(LOAD_STALL * function.load_us, self._load_failed, worker, function, worker.coming[name])
         return True
 
-    def _ask(self, worker: rec.Worker, function: rec.Function) -> None:
+    def _ask(self, worker: rs.Worker, function: rs.Function) -> None:
         """Ask how many copies stand, which proves that it serves; one question to a worker at a time."""
         if worker.asked:
             return
@@ -552,7 +552,7 @@
     def _look(self) -> None:
         self.look_at = self.now
 
-    def _answered(self, worker: rec.Worker, event: io.Loaded) -> None:
+    def _answered(self, worker: rs.Worker, event: io.Loaded) -> None:
         """A question has ended.  Who drains or says nothing is left alone for a while, as after a failure."""
         worker.asked, self.look_at = 0, self.now
         if event.status is Status.OK:
@@ -566,7 +566,7 @@
         else:
             self._rest(worker)
 
-    def _load_failed(self, worker: rec.Worker, function: rec.Function, order: rec.Belief) -> None:
+    def _load_failed(self, worker: rs.Worker, function: rs.Function, order: rs.CopyEstimate) -> None:
         if worker.coming.get(function.name) is order:  # failed or stalled: not here for a while
             self._arrived(worker, function)
             worker.shut[function.name] = self.now + int(function.load_us)
--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -1,7 +1,7 @@
 """The module's books as a versioned snapshot, and back.  No I/O.
 
-Every value of `records.Books` that a decision rests on is in it; what can be derived (homes, ready workers,
-hashes) is not. The structs are the table of versions: a field that a version does not know is dropped, one
+Every value of `router_state.RouterState` that a decision rests on is in it; what can be derived (homes, ready
+workers, hashes) is not. The structs are the table of versions: a field that a version does not know is dropped, one
 that is missing takes the default that stands here, which is what a router that has just started would have.
 """
 
@@ -15,7 +15,7 @@
 import msgspec
 
 from swiftwell import interface as io
-from swiftwell import records as rec
+from swiftwell import router_state as rs
 from swiftwell.choice import FIRST_CAP, RATE_US, Router
 from swiftwell.interface import Effect, State
 
@@ -152,7 +152,7 @@
     )
 
 
-def _belief(belief: rec.Belief) -> Copies:
+def _belief(belief: rs.CopyEstimate) -> Copies:
     return Copies(belief.count, belief.memory, belief.since, belief.fades)
 
 
@@ -272,8 +272,8 @@
     router.taken.times, router.orders.times = deque(books.taken), deque(books.orders)
     router.retries.left = min(books.retries, router.retries.most)
     router.latency = books.latency or router.latency
-    router.traffic = rec.Rate(RATE_US, books.traffic_total, books.traffic_at)
-    router.served, router.born = rec.Rate(RATE_US, books.served_total, books.served_at), books.born
+    router.traffic = rs.DecayingRate(RATE_US, books.traffic_total, books.traffic_at)
+    router.served, router.born = rs.DecayingRate(RATE_US, books.served_total, books.served_at), books.born
     router.warm = books.warm
     router.usual |= books.usual
     router.kind_pace = dict(books.kind_pace)
@@ -284,19 +284,19 @@
     memory = dict(router.told.kind_memory_mb)
     for b in books.workers:
         entry = io.WorkerEntry(b.worker, State(b.state), b.kind, b.weight, b.started_us, b.zone, b.cell)
-        worker = rec.Worker(
+        worker = rs.Worker(
             entry,
-            rec.stable_hash(b.worker),
-            rec.stable_hash(f"{b.worker}/{router.told.position}"),
+            rs.stable_hash(b.worker),
+            rs.stable_hash(f"{b.worker}/{router.told.position}"),
             memory.get(b.kind, math.inf),
             b.cap,
             b.inflight,
             dict(b.busy),
-            {name: rec.Belief(c.count, c.memory, c.since, c.fades) for name, c in b.copies.items()},
-            {name: rec.Belief(c.count, c.memory, c.since, c.fades) for name, c in b.coming.items()},
+            {name: rs.CopyEstimate(c.count, c.memory, c.since, c.fades) for name, c in b.copies.items()},
+            {name: rs.CopyEstimate(c.count, c.memory, c.since, c.fades) for name, c in b.coming.items()},
             dict(b.shut),
             dict(b.refused),
-            rec.Window(deque(b.sends)),
+            rs.SlidingWindow(deque(b.sends)),
             b.quiet_since,
             b.full_until,
             b.rest_until,
@@ -307,13 +307,15 @@
             b.answered,
         )
         if b.turns:
-            worker.turns = rec.Turns(*b.turns)
+            worker.turns = rs.RampTokens(*b.turns)
         worker.rank = (worker.entry.zone != router.told.zone, -worker.order)
         router.workers[b.worker] = worker
     router.ring.update(list(router.workers.values()))
     router.listing = 1
     for f in books.functions:
-        function = rec.Function(f.name, rec.stable_hash(f.name), f.load_us, rec.Rate(RATE_US, f.total, f.at))
+        function = rs.Function(
+            f.name, rs.stable_hash(f.name), f.load_us, rs.DecayingRate(RATE_US, f.total, f.at)
+        )
         function.memory, function.lanes, function.coming = f.memory, f.lanes, f.coming
         function.holders = {name: router.workers[name] for name in f.holders if name in router.workers}
         router.functions[f.name] = function
@@ -336,24 +338,24 @@
     function = router.functions.get(request.function)
     if function is None:
         load = request.load_us or 800_000
-        function = rec.Function(
+        function = rs.Function(
             request.function,
-            rec.stable_hash(request.function),
+            rs.stable_hash(request.function),
             load,
-            rec.Rate(RATE_US),
+            rs.DecayingRate(RATE_US),
             request.memory_mb,
             request.lanes,
         )
         router.functions[request.function] = function
     kinds = f"class {request_class.name}", f"tenant {request.tenant}"
-    call = rec.Call(request, request_class, function, c.seq, c.arrived, kinds)
+    call = rs.Call(request, request_class, function, c.seq, c.arrived, kinds)
     call.held, call.ended, call.streaming = c.held, c.ended, c.streaming
     for number, a in enumerate(c.attempts):
         worker = router.workers.get(a.worker)
         if worker is None:  # it was forgotten: nothing of ours is out there
             entry = io.WorkerEntry(a.worker, State.GONE, "", 1.0, 0, "", 0)
-            worker = rec.Worker(entry, 0, 0, math.inf, FIRST_CAP)
-        attempt = rec.Attempt(call, number, worker, a.sent, a.cold, a.out, a.maybe_ran, a.group, a.before)
+            worker = rs.Worker(entry, 0, 0, math.inf, FIRST_CAP)
+        attempt = rs.Attempt(call, number, worker, a.sent, a.cold, a.out, a.maybe_ran, a.group, a.before)
         call.attempts.append(attempt)
     router.calls[request.id] = call
 
--- a/swiftwell/lab/baselines.py
+++ b/swiftwell/lab/baselines.py
@@ -9,7 +9,7 @@
 import random
 
 from swiftwell import interface as io
-from swiftwell import records as rec
+from swiftwell import router_state as rs
 from swiftwell.choice import Router
 from swiftwell.lab.gateway import Make
 
@@ -22,7 +22,7 @@
         self._own = random.Random(seed)
         self._count = 0
 
-    def _place(self, call: rec.Call) -> bool:
+    def _place(self, call: rs.Call) -> bool:
         tried = [attempt.worker for attempt in call.attempts]
         able = [worker for worker in self.ready if worker not in tried and self._may_send(call, worker)]
         if not able:
@@ -31,21 +31,21 @@
         self._send(call, worker, not worker.believed(call.function.name, self.now))
         return True
 
-    def _pick(self, call: rec.Call, able: list[rec.Worker]) -> rec.Worker:
+    def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
         raise NotImplementedError
 
 
 class Random(_Simple):
     """Any worker."""
 
-    def _pick(self, call: rec.Call, able: list[rec.Worker]) -> rec.Worker:
+    def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
         return self._own.choice(able)
 
 
 class RoundRobin(_Simple):
     """The next one."""
 
-    def _pick(self, call: rec.Call, able: list[rec.Worker]) -> rec.Worker:
+    def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
         self._count += 1
         return able[self._count % len(able)]
 
@@ -53,14 +53,14 @@
 class LeastInFlight(_Simple):
     """The one with the fewest of our own calls in flight."""
 
-    def _pick(self, call: rec.Call, able: list[rec.Worker]) -> rec.Worker:
+    def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
         return min(able, key=lambda worker: (worker.inflight, self._own.random()))
 
 
 class TwoChoices(_Simple):
     """Of two at random, the one with fewer of our own calls in flight."""
 
-    def _pick(self, call: rec.Call, able: list[rec.Worker]) -> rec.Worker:
+    def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
         one, two = self._own.choice(able), self._own.choice(able)
         return one if one.inflight <= two.inflight else two
 
@@ -68,9 +68,9 @@
 class ByHash(_Simple):
     """The function's own worker, by rendezvous hashing."""
 
-    def _pick(self, call: rec.Call, able: list[rec.Worker]) -> rec.Worker:
+    def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
         name = call.function.name
-        return max(able, key=lambda worker: rec.stable_hash(f"{name}/{worker.entry.worker}"))
+        return max(able, key=lambda worker: rs.stable_hash(f"{name}/{worker.entry.worker}"))
 
 
 DESIGNS: dict[str, Make] = {
--- a/swiftwell/placement.py
+++ b/swiftwell/placement.py
@@ -10,7 +10,7 @@
 
 from bisect import bisect_left
 
-from swiftwell import records as rec
+from swiftwell import router_state as rs
 
 SPLIT = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio: scatters hashes
 # Workers ordered for a function: each of a large fleet is a candidate for a like share, within a tenth.
@@ -24,9 +24,9 @@
 
     def __init__(self) -> None:
         self._keys: list[int] = []
-        self.workers: list[rec.Worker] = []  # in the order of their keys
+        self.workers: list[rs.Worker] = []  # in the order of their keys
 
-    def update(self, changed: list[rec.Worker]) -> None:
+    def update(self, changed: list[rs.Worker]) -> None:
         """Take the places of workers from their states: on the ring while they are ready."""
         if len(changed) > FEW:
             self._rebuild(changed)
@@ -42,13 +42,13 @@
             elif there and self.workers[at] is worker:
                 del self._keys[at], self.workers[at]
 
-    def _rebuild(self, changed: list[rec.Worker]) -> None:
+    def _rebuild(self, changed: list[rs.Worker]) -> None:
         places = {worker.key: worker for worker in self.workers if worker.ready}
         places |= {worker.key: worker for worker in changed if worker.ready}
         self._keys[:] = sorted(places)
         self.workers[:] = [places[key] for key in self._keys]
 
-    def preferred(self, key: int, count: int) -> list[rec.Worker]:
+    def preferred(self, key: int, count: int) -> list[rs.Worker]:
         """The first `count` workers for a function's key, fewer where fewer are ready."""
         size = max(CANDIDATES, CANDIDATES_EACH * count)
         if size >= len(self.workers):
--- a/swiftwell/records.py
+++ b/swiftwell/router_state.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Rate:
+class DecayingRate:
     """Events a microsecond, averaged over a span that the user states."""
 
     span_us: int
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class TokenBucket:
     """Tokens that are earned up to a limit and spent."""
 
     most: float
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Window:
+class SlidingWindow:
     """The times of events, to count those of late."""
 
     times: deque[int] = field(default_factory=deque)
@@ -88,7 +88,7 @@
 
 
 @dataclass(slots=True)
-class Turns:
+class RampTokens:
     """Turns that come at a pace, each of which lapses after a span."""
 
     come: float  # so many have come; between 0 and 1 at first, so that routers don't begin together
@@ -104,7 +104,7 @@
 
 
 @dataclass(slots=True)
-class Belief:
+class CopyEstimate:
     """Copies of a function at a worker; a belief made at `since` holds until `fades`."""
 
     count: int
@@ -162,7 +162,7 @@
     name: str
     key: int  # the same at every router
     load_us: float
-    rate: Rate
+    rate: DecayingRate
     memory: float = 0.0
     lanes: int = 1
     coming: int = 0
@@ -189,12 +189,12 @@
     cap: float
     inflight: int = 0
     busy: dict[str, int] = field(default_factory=dict)  # function: in flight
-    copies: dict[str, Belief] = field(default_factory=dict)
-    coming: dict[str, Belief] = field(default_factory=dict)  # ordered at `since`, not yet standing
+    copies: dict[str, CopyEstimate] = field(default_factory=dict)
+    coming: dict[str, CopyEstimate] = field(default_factory=dict)  # ordered at `since`, not yet standing
     shut: dict[str, int] = field(default_factory=dict)  # function: no new copy before
     refused: dict[str, int] = field(default_factory=dict)  # class or tenant: turned away, none before
-    sends: Window = field(default_factory=Window)
-    turns: Turns = field(init=False)  # at it while it starts
+    sends: SlidingWindow = field(default_factory=SlidingWindow)
+    turns: RampTokens = field(init=False)  # at it while it starts
     quiet_since: int = 0
     full_until: int = 0
     rest_until: int = 0
@@ -208,7 +208,7 @@
     rank: tuple[bool, int] = (False, 0)  # among homes: those of our zone first, then by the tie hash
 
     def __post_init__(self) -> None:
-        self.turns = Turns(self.order / 2**64)
+        self.turns = RampTokens(self.order / 2**64)
 
     @property
     def ready(self) -> bool:
@@ -257,10 +257,10 @@
         self.shut = {name: until for name, until in self.shut.items() if until > now}
 
 
-Line = tuple[str, str]  # function, group that a repeat is bound to
+QueueKey = tuple[str, str]  # function, group that a repeat is bound to
 
 
-class Books:
+class RouterState:
     """A router's tables and timers, and the moves between them that leave nothing to decide."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
@@ -274,8 +274,8 @@
         self.warm = 0  # ready workers that don't start, at the last sweep
         self.functions: dict[str, Function] = {}
         self.calls: dict[str, Call] = {}
-        self.lines: dict[Line, deque[Call]] = {}
-        self.taken, self.orders = Window(), Window()
+        self.lines: dict[QueueKey, deque[Call]] = {}
+        self.taken, self.orders = SlidingWindow(), SlidingWindow()
         self.news: set[str] = set()  # functions to look at in this batch
         self.look_at = 0  # when all of them are looked at again
         self.woke = 0  # the end of the last gap in our own clock
--- a/swiftwell/scale/ranking.py
+++ b/swiftwell/scale/ranking.py
@@ -71,7 +71,7 @@
         "memory_mb",
         TARGET.workers,
         TARGET.control_mb,
-        "swiftwell/placement, swiftwell/records",
+        "swiftwell/placement, swiftwell/router_state",
     ),
     Resource(
         CONTROL,
@@ -82,7 +82,7 @@
         "memory_mb",
         TARGET.instances,
         TARGET.control_mb,
-        "swiftwell/placement, swiftwell/records",
+        "swiftwell/placement, swiftwell/router_state",
     ),
     Resource(
         REQUESTS,
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,10 +9,10 @@
 from helpers import ORDERS, PLAIN, TICK, Bench, entry, left_to_the_collector, only
 
 from swiftwell import interface as io
-from swiftwell import records
+from swiftwell import router_state as rs
 from swiftwell.choice import FIRST_CAP, LOOK_US, SPLIT
 from swiftwell.interface import Status
-from swiftwell.records import Worker, stable_hash
+from swiftwell.router_state import Worker, stable_hash
 
 MODULE = Path(__file__).resolve().parent.parent / "swiftwell" / "choice.py"
 
@@ -652,7 +652,7 @@
 def test_a_call_that_ended_is_freed_without_the_cyclic_collector() -> None:
     """Thousands of them a minute made full collections long, and answers late."""
     bench = Bench()
-    with left_to_the_collector(records.Call) as left:
+    with left_to_the_collector(rs.Call) as left:
         for _ in range(5):
             (send,) = only(bench.call(), io.Send)
             bench.answer(send)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from swiftwell import interface as io
-from swiftwell import records as rec
+from swiftwell import router_state as rs
 from swiftwell.choice import Router
 from swiftwell.placement import CANDIDATES, SPLIT, Ring
 from swiftwell.scale import hollow_router as hollow
@@ -15,7 +15,7 @@
 
 def worker(name, state=io.State.READY):
     entry = io.WorkerEntry(name, state, "std", 1.0, 0, "", 0)
-    return rec.Worker(entry, rec.stable_hash(name), 0, 1_000.0, 4.0)
+    return rs.Worker(entry, rs.stable_hash(name), 0, 1_000.0, 4.0)
 
 
 def ring_of(workers):
@@ -26,7 +26,7 @@
 
 
 def keys(count):
-    return [rec.stable_hash(f"fn/{number}") for number in range(count)]
+    return [rs.stable_hash(f"fn/{number}") for number in range(count)]
 
 
 @pytest.mark.parametrize("size", [1, 2, 12, 120, CANDIDATES])
