--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -1,4 +1,4 @@
-"""Every decision of a swiftwell router; its types are in swiftwell/interface.py, its tables in router_state."""
+"""Every decision of a swiftwell router; types in swiftwell/interface.py, tables in swiftwell/router_state.py.
 
 Punica's rule (5.1): a request goes to the worker that holds most of our own in-flight requests and has room,
 warm workers first; when none has room it is held, first come first served.  Everything else here narrows who
@@ -77,7 +77,7 @@
         if not self.seq:
             self.born = now
             self._after(SWEEP_US, self._sweep)
-            if self.told.asked_discovery:
+            if self.settings.asked_discovery:
                 self._watch()
         # After a gap in our own clock, told by a late timer, what was out meanwhile tells nothing of workers:
         # else all would look silent and slow at once.  Timers go last, as answers may lie beside them.
@@ -94,24 +94,24 @@
     def _members(self, event: io.Members) -> None:
         if event.how is ListKind.FAILED:  # the old list holds; ask again, but not at once
             # Who asks seldomer than told counts as told of what went unheard.
-            self._after(min(SWEEP_US, self.told.ask_within_us or SWEEP_US), self._watch)
+            self._after(min(SWEEP_US, self.settings.ask_within_us or SWEEP_US), self._watch)
             return
         self.ring.update([self._entry(entry) for entry in rs.listed(event, self.workers)])
         self.listing += 1
 
     def _entry(self, entry: io.WorkerEntry) -> rs.Worker:
         worker = self.workers.get(entry.worker)
-        warm_at = entry.started_us + self.told.cold_us if entry.started_us else 0
+        warm_at = entry.started_us + self.settings.cold_us if entry.started_us else 0
         if worker is None:
-            order = rs.stable_hash(f"{entry.worker}/{self.told.position}")
-            memory = dict(self.told.kind_memory_mb).get(entry.kind, math.inf)
+            order = rs.stable_hash(f"{entry.worker}/{self.settings.position}")
+            memory = dict(self.settings.kind_memory_mb).get(entry.kind, math.inf)
             worker = rs.Worker(entry, rs.stable_hash(entry.worker), order, memory, FIRST_CAP)
             self.workers[entry.worker], worker.warm_at = worker, warm_at
         elif entry.started_us != worker.entry.started_us:  # beliefs die with the process
             self._forget(worker)
             worker.rest_until, worker.pace_at, worker.cap, worker.warm_at = 0, 0, FIRST_CAP, warm_at
         worker.identified = True
-        worker.entry, worker.rank = entry, (entry.zone != self.told.zone, -worker.order)
+        worker.entry, worker.rank = entry, (entry.zone != self.settings.zone, -worker.order)
         if entry.state is State.GONE:
             self._forget(worker)
         return worker
@@ -120,7 +120,7 @@
         """Rules 2 and 4 while the list is away: it may be a new process, cold, or another worker's."""
         if worker := self.workers.get(event.worker):
             self._forget(worker)
-            worker.warm_at, worker.identified = self.now + self.told.cold_us, False
+            worker.warm_at, worker.identified = self.now + self.settings.cold_us, False
 
     def _list_state(self, event: io.ListState) -> None:
         """Who waits for proof is looked at again; a list that is current names every process."""
@@ -151,8 +151,8 @@
         call = rs.Call(request, request_class, function, self.seq, self.now, kinds)
         self.calls[request.id] = call
         # Two ticks early: timers land on the next tick, and the answer must precede the deadline.
-        self._after(request.left_us - 2 * self.told.tick_us, self._finish, call)
-        self._after(request.left_us // 2 - 2 * self.told.tick_us, self._half, call)
+        self._after(request.left_us - 2 * self.settings.tick_us, self._finish, call)
+        self._after(request.left_us // 2 - 2 * self.settings.tick_us, self._half, call)
         self._hold(call)
 
     def _hold(self, call: rs.Call) -> None:
@@ -231,13 +231,13 @@
         function, seats = call.function, self._seats(call)
         worker, warm = self._choose(call, seats)
         if worker and not warm and self._serves(worker):
-            ordered = self.told.may_load and (function.coming or self._order(worker, function))
-            if ordered or self.told.misses:  # meanwhile a copy elsewhere may serve
+            ordered = self.settings.may_load and (function.coming or self._order(worker, function))
+            if ordered or self.settings.misses:  # meanwhile a copy elsewhere may serve
                 worker, warm = self._choose(call, function.holding(self.now))
         if worker and not self._serves(worker):  # rule 3 while the list is away: its own word first
             self._ask(worker, function)
             return False
-        if worker is None or (self.told.misses and self.told.may_load and not warm):
+        if worker is None or (self.settings.misses and self.settings.may_load and not warm):
             return False
         self._send(call, worker, not warm)
         return True
@@ -281,7 +281,7 @@
         others = max(0.0, function.rate.total - 1)
         calls = others + ERRORS * math.sqrt(others) + DOUBT / max(1, len(self.ready))
         part = calls / (self.traffic.per_us(self.now) * RATE_US + DOUBT)
-        homes = min(SPREAD * part * len(self.ready), lanes * self.told.routers)
+        homes = min(SPREAD * part * len(self.ready), lanes * self.settings.routers)
         homes = 1 << math.ceil(math.log2(max(1.0, homes, lanes)))  # in steps, so that seats seldom move
         # An order of many is made anew once a period at most: what has gone is not fit, what comes can wait.
         due = min(homes, len(self.ready)) <= CANDIDATES or self.now >= function.ordered_at + SWEEP_US
@@ -300,7 +300,7 @@
 
     def _believe(self, worker: rs.Worker, function: rs.Function, count: int) -> None:
         """A belief rests on a send or an answer and fades past the told idle life."""
-        fades = self.now + self.told.idle_life_us
+        fades = self.now + self.settings.idle_life_us
         worker.copies[function.name] = rs.CopyEstimate(count, function.memory, self.now, fades)
         function.holders[worker.entry.worker] = worker
 
@@ -326,7 +326,7 @@
         """Not known to serve, and not to be asked, or asked and silent: as a worker that hangs."""
         if self._serves(worker):
             return False
-        return not self.told.may_load or (worker.asked > 0 and self.now - worker.asked >= ANSWER_US)
+        return not self.settings.may_load or (worker.asked > 0 and self.now - worker.asked >= ANSWER_US)
 
     def _suspect(self, worker: rs.Worker) -> bool:
         """Hung, paused, cut off: old work, no outcomes.  May hurt where one long call is all it has."""
@@ -358,16 +358,16 @@
         serve is within what they can do, whatever they are offered, so the sum over any number of routers
         keeps to the told multiple.  Our part of one core's budget in any case: no worker has less.
         """
-        left = min(1.0, (worker.warm_at - self.now) / max(1, self.told.cold_us))
-        present = 1 - (1 - self.told.cold_share) * left  # of its capacity, at the slowest warm-up allowed
-        core = self.told.fall_multiple * present / self.latency / self.told.routers
+        left = min(1.0, (worker.warm_at - self.now) / max(1, self.settings.cold_us))
+        present = 1 - (1 - self.settings.cold_share) * left  # of its capacity, at the slowest warm-up allowed
+        core = self.settings.fall_multiple * present / self.latency / self.settings.routers
         # Among few routers that part is also the most: they see little of each worker's chance.
-        if worker.sends.count(self.now - self.told.fall_us) >= max(1, int(core * self.told.fall_us)):
+        if worker.sends.count(self.now - self.settings.fall_us) >= max(1, int(core * self.settings.fall_us)):
             return False
         seen = 1 - math.exp((self.born - SWEEP_US - self.now) / RATE_US)  # of the mean's span, after a start
         even = self.served.per_us(self.now) / seen / max(1, self.warm or len(self.ready))  # 0 until a sweep
-        pace = TURNS * max(core, even * part * present * self.told.fall_multiple)
-        return worker.turns.open(self.now, pace, self.told.fall_us)
+        pace = TURNS * max(core, even * part * present * self.settings.fall_multiple)
+        return worker.turns.open(self.now, pace, self.settings.fall_us)
 
     def _may_send(self, call: rs.Call, worker: rs.Worker) -> bool:
         """Rule 2: where this call may go, given what its earlier attempts may have done."""
@@ -376,7 +376,7 @@
             return True
         if call.request_class.effect is Effect.UNSAFE or worker.group(call.request_class) != bound.group:
             return False
-        return self.now < bound.sent + call.request_class.memory_us - 2 * self.told.tick_us
+        return self.now < bound.sent + call.request_class.memory_us - 2 * self.settings.tick_us
 
     def _send(self, call: rs.Call, worker: rs.Worker, cold: bool) -> None:
         function = call.function
@@ -443,7 +443,9 @@
                 worker.copies.pop(function.name, None)
             case Status.RESET | Status.CONNECT_FAILED:
                 self._forget(worker)
-                worker.warm_at = now + self.told.cold_us  # it may be starting again before the list says so
+                worker.warm_at = (
+                    now + self.settings.cold_us
+                )  # it may be starting again before the list says so
                 self._rest(worker)
             case Status.TIMEOUT if not attempt.call.ended:
                 self._rest(worker)
@@ -478,8 +480,8 @@
         where the design asks for an order and a resend.  May hurt where few of many workers turn much away.
         """
         barred = call.bound() is not None and call.request_class.effect is Effect.UNSAFE
-        spent = len(call.attempts) >= self.told.max_attempts
-        free = self.told.misses and status is Status.MISS
+        spent = len(call.attempts) >= self.settings.max_attempts
+        free = self.settings.misses and status is Status.MISS
         if barred or spent or not (free or self.retries.spend(1)):
             self._finish(call)
         else:
@@ -487,7 +489,7 @@
 
     def _late(self, attempt: rs.Attempt) -> None:
         """An attempt old for its function: the worker looks slower; if suspect, another may start."""
-        call, told = attempt.call, self.told
+        call, settings = attempt.call, self.settings
         if not attempt.out or call.ended or call.streaming:
             return
         # What was sent later has been answered: this one is long or lost, and tells nothing of its worker.
@@ -496,14 +498,18 @@
         if not attempt.cold and not overtaken:
             attempt.before = attempt.before or (self._pace(attempt.worker), attempt.worker.cap)
             self._timed(attempt, self.now - attempt.sent)
-        if call.held or call.request_class.effect is Effect.UNSAFE or len(call.attempts) >= told.max_attempts:
+        if (
+            call.held
+            or call.request_class.effect is Effect.UNSAFE
+            or len(call.attempts) >= settings.max_attempts
+        ):
             return
         lost = overtaken and self.now - attempt.sent >= 2 * LATE * self._usual(call)
         if not lost and not self._suspect(attempt.worker):
             self._after(LATE * self._usual(call), self._late, attempt)
-        elif told.second_copies and self.retries.spend(1):
+        elif settings.second_copies and self.retries.spend(1):
             self._hold(call)
-        elif not told.second_copies and told.may_cancel and self.retries.left >= 1:
+        elif not settings.second_copies and settings.may_cancel and self.retries.left >= 1:
             self.actions.append(io.Cancel(call.request.id, attempt.number))
 
     def _finish(self, call: rs.Call) -> None:
@@ -517,8 +523,8 @@
         keyed_by_all = call.request_class.effect is Effect.KEYED and call.request_class.scope == "all"
         harmless = call.bound() is None or call.request_class.effect is Effect.SAFE or keyed_by_all
         over = self.usual[call.request_class.name] - call.request_class.target_us / 2
-        wait = min(max(int(over), self.told.tick_us), self.told.max_retry_after_us)
-        wait = wait if self.told.retry_after else 0
+        wait = min(max(int(over), self.settings.tick_us), self.settings.max_retry_after_us)
+        wait = wait if self.settings.retry_after else 0
         self.actions.append(io.Refuse(call.request.id, wait) if harmless else io.Fail(call.request.id))
         self._end(call)
 
@@ -528,11 +534,11 @@
         Where workers load by themselves, also within what our calls earn: hundreds of routers with some calls
         a second each ordered nearly one for each call, and most found a copy that another had ordered.
         """
-        told, name, since = self.told, function.name, self.now - self.told.load_window_us
-        allowed = told.load_free + told.load_share * self.taken.count(since + 1)
-        if self.orders.count(since - told.tick_us) + 1 > allowed and told.load_window_us:
+        settings, name, since = self.settings, function.name, self.now - self.settings.load_window_us
+        allowed = settings.load_free + settings.load_share * self.taken.count(since + 1)
+        if self.orders.count(since - settings.tick_us) + 1 > allowed and settings.load_window_us:
             return False
-        if not self.told.misses and not self.orders_left.spend(1):
+        if not self.settings.misses and not self.orders_left.spend(1):
             return False
         self.orders.add(self.now)
         self.actions.append(io.Load(worker.entry.worker, name, 1))
@@ -597,11 +603,11 @@
         self.warm = sum(self.now >= worker.warm_at for worker in self.ready)
         paces = sorted(map(self._pace, self.ready))
         self.median = max(0.1, paces[len(paces) // 2]) if paces else 1.0
-        self.taken.count(self.now - self.told.load_window_us)  # keeps the window short
+        self.taken.count(self.now - self.settings.load_window_us)  # keeps the window short
         for worker in list(self.workers.values()):
-            worker.tidy(self.now, self.now - self.told.fall_us)
+            worker.tidy(self.now, self.now - self.settings.fall_us)
             if worker.entry.state is State.GONE and not worker.inflight:  # else every one that left stays
                 del self.workers[worker.entry.worker]
         for function in list(self.functions.values()):
-            if not function.coming and self.now - function.rate.at > KEEP_LIVES * self.told.idle_life_us:
+            if not function.coming and self.now - function.rate.at > KEEP_LIVES * self.settings.idle_life_us:
                 del self.functions[function.name]
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -799,7 +799,7 @@
         """
         self._part_until, self._part_then = until_us, then
         if routers != self._settings.routers:
-            self._settings = self.router.told = replace(self._settings, routers=routers)
+            self._settings = self.router.settings = replace(self._settings, routers=routers)
 
     def start_at(self, now_us: int, wall_us: int) -> None:
         """The time at which calls are put in, before the first `step`."""
--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -1,8 +1,9 @@
 """The module's books as a versioned snapshot, and back.  No I/O.
 
-Every value of `router_state.RouterState` that a decision rests on is in it; what can be derived (homes, ready
-workers, hashes) is not. The structs are the table of versions: a field that a version does not know is dropped, one
-that is missing takes the default that stands here, which is what a router that has just started would have.
+Every value of `router_state.RouterState` that a decision rests on is in it; what can be derived (preferred
+workers, ready workers, hashes) is not.  The structs are the table of versions: a field that a version does
+not know is dropped, one that is missing takes the default that stands here, which is what a router that has
+just started would have.
 """
 
 from __future__ import annotations
@@ -281,13 +282,13 @@
     router.orders_left.left = min(books.orders_left, router.orders_left.most)
     router.look_at, router.woke, router.loading = books.look_at, books.woke, books.loading
     router.seq, router.now = max(1, books.seq), books.now
-    memory = dict(router.told.kind_memory_mb)
+    memory = dict(router.settings.kind_memory_mb)
     for b in books.workers:
         entry = io.WorkerEntry(b.worker, State(b.state), b.kind, b.weight, b.started_us, b.zone, b.cell)
         worker = rs.Worker(
             entry,
             rs.stable_hash(b.worker),
-            rs.stable_hash(f"{b.worker}/{router.told.position}"),
+            rs.stable_hash(f"{b.worker}/{router.settings.position}"),
             memory.get(b.kind, math.inf),
             b.cap,
             b.inflight,
@@ -308,7 +309,7 @@
         )
         if b.turns:
             worker.turns = rs.RampTokens(*b.turns)
-        worker.rank = (worker.entry.zone != router.told.zone, -worker.order)
+        worker.rank = (worker.entry.zone != router.settings.zone, -worker.order)
         router.workers[b.worker] = worker
     router.ring.update(list(router.workers.values()))
     router.listing = 1
--- a/swiftwell/lab/baselines.py
+++ b/swiftwell/lab/baselines.py
@@ -17,8 +17,8 @@
 class _Simple(Router):
     """Sends at once, to whomever `_pick` says; a call that none may take is held as the module holds it."""
 
-    def __init__(self, told: io.Settings, seed: int) -> None:
-        super().__init__(told, seed)
+    def __init__(self, settings: io.Settings, seed: int) -> None:
+        super().__init__(settings, seed)
         self._own = random.Random(seed)
         self._count = 0
 
--- a/swiftwell/router_state.py
+++ b/swiftwell/router_state.py
@@ -266,7 +266,7 @@
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.leases: Leases | None = None  # None: the list is always taken for current
         self.list_serves = True  # its word on every worker holds in this batch
-        self.told, self.seed = settings, seed  # no choice is left to chance so far: the seed is unused
+        self.settings, self.seed = settings, seed  # no choice is left to chance so far: the seed is unused
         self.request_classes = {request_class.name: request_class for request_class in settings.classes}
         self.workers: dict[str, Worker] = {}
         self.ready: list[Worker] = []  # of the list of workers that is numbered `listing`
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -170,7 +170,7 @@
     """Orders as if there were no ration."""
 
     def _order(self, worker, function):
-        self.told = replace(self.told, load_window_us=0)
+        self.settings = replace(self.settings, load_window_us=0)
         self.orders_left.earn(1)
         return super()._order(worker, function)
 
