--- a/swiftwell/gateway/calls.py
+++ b/swiftwell/gateway/calls.py
@@ -36,7 +36,7 @@
 
     id: str
     trigger: Trigger
-    band: io.RequestClass
+    request_class: io.RequestClass
     deadline_us: int
     claimed: bool
     waiters: list[Waiter] = field(default_factory=list)
@@ -61,10 +61,10 @@
 
     def send_before_us(self) -> int:
         """Until when a further attempt may be sent, as workers still drop repeats; 0 without a limit."""
-        if self.band.effect is not Effect.KEYED:
+        if self.request_class.effect is not Effect.KEYED:
             return 0
         first_sent = next((attempt for attempt in self.attempts if attempt.ran is not Ran.NEVER), None)
-        return first_sent.sent_us + self.band.memory_us if first_sent else 0
+        return first_sent.sent_us + self.request_class.memory_us if first_sent else 0
 
     def has_attempts_in_flight(self) -> bool:
         return any(attempt.in_flight for attempt in self.attempts)
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -47,6 +47,7 @@
 
 VERSION = 1  # of the state; a reader takes any version, by the defaults below
 _STORED_NAMES = {
+    "request_class": "band",
     "redelivered": "again",
     "maybe_seen_elsewhere": "elsewhere",
     "rejection": "turned",
@@ -82,7 +83,7 @@
 
     id: str
     trigger: TriggerState
-    band: dict[str, Any]
+    request_class: dict[str, Any] = msgspec.field(name="band")
     deadline_us: int
     claimed: bool = False
     waiters: list[tuple[TriggerState, int]] = []
@@ -493,7 +494,7 @@
     return CallState(
         call.id,
         _trigger_out(call.trigger),
-        snapshot.band_out(call.band),
+        snapshot.encode_request_class(call.request_class),
         call.deadline_us,
         call.claimed,
         [(_trigger_out(w.trigger), w.deadline_us) for w in call.waiters],
@@ -692,8 +693,10 @@
 
 def _call_in(gateway: Gateway, one: CallState, peers: dict[tuple[str, str], Peer]) -> None:
     engine = gateway.engine
-    band = engine._bands.get(one.trigger.values["band"]) or snapshot.band_in(one.band)
-    call = Call(one.id, _trigger_in(one.trigger, peers, gateway), band, one.deadline_us, one.claimed)
+    request_class = engine._request_classes.get(one.trigger.values["band"]) or snapshot.decode_request_class(
+        one.request_class
+    )
+    call = Call(one.id, _trigger_in(one.trigger, peers, gateway), request_class, one.deadline_us, one.claimed)
     call.attempts = [Attempt(worker, out, Ran(ran), 0, until) for worker, out, ran, until in one.attempts]
     call.settled, call.streaming, call.may_have_run_before = one.settled, one.streaming, one.doubted
     call.orphan, call.failures_involved = one.orphan, one.blames
