--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -1,8 +1,8 @@
 """Every decision of a swiftwell router; types in swiftwell/interface.py, tables in swiftwell/router_state.py.
 
-Punica's rule (5.1): a request goes to the worker that holds most of our own in-flight requests and has room,
-warm workers first; when none has room it is held, first come first served.  Everything else here narrows who
-has room, or answers what a rule of the operators asks.
+Punica's rule (section 5.1): a request goes to the worker that holds most of our own in-flight requests and
+has room, warm workers first; when none has room it is queued, first come, first served.  Everything else here
+narrows down which workers have room, or implements a rule of the operators.  Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -15,227 +15,238 @@
 from swiftwell import interface as io
 from swiftwell import router_state as rs
 from swiftwell.interface import Effect, ListKind, State, Status
-from swiftwell.placement import CANDIDATES, SPLIT, Ring
-
-FIRST_CAP, MOST_CAP = 4.0, 16.0  # requests of ours in flight at a worker: at first, and at most
-CAP_STEP = 0.3  # requests: how far one outcome moves a worker's cap
-CAP_AIM = 0.25  # of a class's wanted time: outcomes that take longer lower the cap
-FIRST_LATENCY = 0.25  # of the class's wanted time: a call's time before any outcome has told one
-STRAINED = 0.75  # of the wanted time: a first try reckons with no longer usual time; a slow fleet serves
-REPEAT_SPENT = 0.5  # of the wanted time that a client's repeat has spent on earlier tries and waits
-LOAD_US = 800_000  # us: a load's time where none is told; most small copies load in less
-LEARN = 0.1  # weight of one outcome in the running means of latency and load time
-PACE_LEARN = 0.5  # weight of one outcome in a worker's pace: a router with few calls sees few of them
-PACE_US = 10_000_000  # us over which a worker's pace goes back to that of its kind
-LATE = 4.0  # times the usual latency: an attempt is late; a worker silent so long has no room
-REST_US = 250_000  # us a worker rests after a failure; doubles with each further one
-REST_DOUBLINGS = 4  # doublings of the rest at most: a worker back again is tried within 4 s
-FULL_US = 100_000  # us a worker counts as full when no outcome comes sooner
-REFUSED_US = 1_000_000  # us a worker that turned a class or tenant away gets none of it
-LOOK_US = 100_000  # us until a function without room is looked at again; a call held longer gets a seat more
-RETRY_SHARE, RETRY_BURST = 0.1, 10.0  # further attempts per call taken, and saved up at most
-HEADROOM = 2.0  # lanes wanted for each call at work: arrivals are uneven
-RATE_US = 10_000_000  # us over which arrivals are averaged: long enough for routers with few calls
-DOUBT = 10.0  # calls: until a router has taken more, it takes a function to fill about a worker
-ERRORS = 3.0  # standard errors of its count by which a function may be hotter: few calls tell little
-SPREAD = 3.0  # homes a function has for each worker that its part of our calls would fill: evens them out
-PASSES = 8  # workers beyond its homes that a call passes on to at most
-KEEP_LIVES = 2  # idle lives after its last call for which a function is remembered
-ANSWER_US = 100_000  # us for which calls wait for a question's answer before they go elsewhere: a handshake
-MOST_LOADS = 6  # loads of ours under way at once
-LOAD_FAILED = 4  # the wire's word in an error or a miss: the load that the call began or waited for failed
-LOAD_STALL = 3.0  # times the usual load: the copy is no longer waited for
-ORDERS, MOST_ORDERS = 0.1, 10.0  # orders per call taken, and saved up at most: as further attempts
-TURNS = 0.75  # of the told multiple that all turns at a starting worker come to: the rest is for chance
-STILL_US = 50_000  # us that a timer may come late before we take it that we stood still ourselves
-SWEEP_US = 1_000_000  # us between looks at paces and old records, and between calls to a failing discovery
+from swiftwell.placement import HASH_MULTIPLIER, MIN_RANKED, Ring
+
+# Concurrency limit of a worker: requests of ours in flight there.
+INITIAL_CONCURRENCY, MAX_CONCURRENCY = 4.0, 16.0
+CONCURRENCY_STEP = 0.3  # requests: largest rise of the limit by one outcome; it falls by up to twice as much
+CONCURRENCY_LATENCY_SHARE = 0.25  # of a class's target latency: slower outcomes lower the limit
+
+# Expected latency, as a share of a class's target latency.
+INITIAL_LATENCY_SHARE = 0.25  # before any outcome
+MAX_EXPECTED_SHARE = 0.75  # assumed at most for a first try, so that a slow fleet still serves
+REPEAT_SPENT_SHARE = 0.5  # assumed to be spent on earlier tries and waits when a client repeats a request
+
+DEFAULT_LOAD_US = 800_000  # us: load time where the request gives none; most small copies load in less
+MEAN_WEIGHT = 0.1  # weight of one outcome in the running means of latency and reported calls
+# Weight of one outcome in a worker's relative latency: high, as a router with few calls sees few of them.
+RELATIVE_LATENCY_WEIGHT = 0.5
+RELATIVE_LATENCY_DECAY_US = 10_000_000  # us: time constant of its return to the mean of the worker's kind
+LATE_MULTIPLE = 4.0  # times the expected latency: an attempt is late; a worker silent so long has no room
+
+BACKOFF_US = 250_000  # us: back-off of a worker after a failure; doubles with each further one
+MAX_BACKOFF_DOUBLINGS = 4  # so that a recovered worker is tried again within 4 s
+FULL_PAUSE_US = 100_000  # us: a worker that reported full gets no calls, unless an outcome comes sooner
+REJECTION_PAUSE_US = 1_000_000  # us: a worker that rejected a class or tenant gets none of its calls
+RECHECK_US = 100_000  # us until all queues are rechecked; a call queued longer gets one more candidate
+RETRY_SHARE, RETRY_BURST = 0.1, 10.0  # further attempts earned per call, and saved up at most
+
+LANE_HEADROOM = 2.0  # lanes wanted for each call in flight, as arrivals are uneven
+RATE_SPAN_US = 10_000_000  # us over which arrivals are averaged: long enough for routers with few calls
+PRIOR_CALLS = 10.0  # calls: with fewer seen, a function is assumed to need about one whole worker
+STANDARD_ERRORS = 3.0  # standard errors added to a function's count of calls, as few calls say little
+PREFERRED_MULTIPLE = 3.0  # preferred workers for each worker that a function's share of our calls would fill
+FALLBACK_WORKERS = 8  # workers beyond the preferred ones that a call may go to, at most
+FUNCTION_KEEP_LIFETIMES = 2  # idle lifetimes after its last call for which a function is remembered
+
+QUERY_WAIT_US = 100_000  # us for which calls wait for a query's answer before they go elsewhere: a handshake
+MAX_PENDING_LOADS = 6  # copies ordered by this router and not yet loaded
+NOTE_LOAD_FAILED = 4  # note in an error or a miss: the load that the call began or waited for has failed
+LOAD_TIMEOUT_MULTIPLE = 3.0  # times the expected load time: the copy is no longer waited for
+ORDER_SHARE, ORDER_BURST = 0.1, 10.0  # load orders earned per call, and saved up at most: as for retries
+RAMP_BUDGET_SHARE = 0.75  # of the configured multiple that ramp tokens use; the rest allows for chance
+
+CLOCK_GAP_US = 50_000  # us: a timer later than this shows that this process itself was stopped
+SWEEP_US = 1_000_000  # us between sweeps of the state, and at least between calls to a failing discovery
 
 
 class Router(rs.RouterState):
-    """One router's decisions: `handle` takes a batch of events and gives the actions."""
+    """One router's decisions: `handle` takes a batch of events and returns the actions to carry out."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.ring = Ring()
         self.ready = self.ring.workers
-        self.takers = {io.Request: self._request, io.Outcome: self._outcome}
-        self.takers |= {io.Loaded: self._loaded, io.Members: self._members}
-        self.takers |= {io.Restarted: self._restarted, io.ListState: self._list_state}
-        self.retries = rs.TokenBucket(RETRY_BURST, RETRY_BURST)
-        self.orders_left = rs.TokenBucket(MOST_ORDERS, 1.0)
-        self.latency = FIRST_LATENCY * min(
-            (request_class.target_us for request_class in settings.classes), default=1_000_000
+        self.handlers = {io.Request: self._on_request, io.Outcome: self._on_outcome}
+        self.handlers |= {io.Loaded: self._on_loaded, io.Members: self._on_members}
+        self.handlers |= {io.Restarted: self._on_restarted, io.ListState: self._on_list_state}
+        self.retry_tokens = rs.TokenBucket(RETRY_BURST, RETRY_BURST)
+        self.order_tokens = rs.TokenBucket(ORDER_BURST, 1.0)
+        self.mean_latency_us = INITIAL_LATENCY_SHARE * min(
+            (c.target_us for c in settings.classes), default=1_000_000
         )
-        self.traffic, self.served = rs.DecayingRate(RATE_US), rs.DecayingRate(RATE_US)
-        self.usual = {
-            request_class.name: FIRST_LATENCY * request_class.target_us for request_class in settings.classes
-        }
+        self.arrival_rate, self.served_rate = rs.DecayingRate(RATE_SPAN_US), rs.DecayingRate(RATE_SPAN_US)
+        self.expected_latency = {c.name: INITIAL_LATENCY_SHARE * c.target_us for c in settings.classes}
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
+        """Decide on a batch of events that have come by `now`."""
         self.now, self.actions = now, []
-        self.list_serves = self.leases is None or self.leases.list_serves(now)
+        self.list_is_current = self.leases is None or self.leases.list_serves(now)
         if not self.seq:
-            self.born = now
-            self._after(SWEEP_US, self._sweep)
+            self.started_at = now
+            self._schedule(SWEEP_US, self._sweep)
             if self.settings.asked_discovery:
                 self._watch()
-        # After a gap in our own clock, told by a late timer, what was out meanwhile tells nothing of workers:
-        # else all would look silent and slow at once.  Timers go last, as answers may lie beside them.
-        if self.now - min(map(self.due, events), default=now) > STILL_US:
-            self.woke = now
+        # A late timer shows that this process was stopped.  Latencies and silences over that gap say nothing
+        # of the workers, which would all look silent and slow at once.  Timers are handled last, as answers
+        # may be in the same batch.
+        if self.now - min(map(self.due_at, events), default=now) > CLOCK_GAP_US:
+            self.resumed_at = now
         for event in sorted(events, key=lambda event: isinstance(event, io.Timer)):
-            self.takers.get(type(event), self._note)(event)
+            self.handlers.get(type(event), self._on_other)(event)
         self._dispatch()
         return self.actions
 
     def _watch(self) -> None:
         self.actions.append(io.Watch(True))
 
-    def _members(self, event: io.Members) -> None:
-        if event.how is ListKind.FAILED:  # the old list holds; ask again, but not at once
-            # Who asks seldomer than told counts as told of what went unheard.
-            self._after(min(SWEEP_US, self.settings.ask_within_us or SWEEP_US), self._watch)
+    def _on_members(self, event: io.Members) -> None:
+        if event.how is ListKind.FAILED:  # keep the old list, and ask again after a delay
+            # A router that asks less often than configured counts as informed of changes that it missed.
+            self._schedule(min(SWEEP_US, self.settings.ask_within_us or SWEEP_US), self._watch)
             return
-        self.ring.update([self._entry(entry) for entry in rs.listed(event, self.workers)])
-        self.listing += 1
+        self.ring.update([self._update_worker(entry) for entry in rs.changed_entries(event, self.workers)])
+        self.list_version += 1
 
-    def _entry(self, entry: io.WorkerEntry) -> rs.Worker:
+    def _update_worker(self, entry: io.WorkerEntry) -> rs.Worker:
         worker = self.workers.get(entry.worker)
         warm_at = entry.started_us + self.settings.cold_us if entry.started_us else 0
         if worker is None:
-            order = rs.stable_hash(f"{entry.worker}/{self.settings.position}")
-            memory = dict(self.settings.kind_memory_mb).get(entry.kind, math.inf)
-            worker = rs.Worker(entry, rs.stable_hash(entry.worker), order, memory, FIRST_CAP)
+            tie_hash = rs.stable_hash(f"{entry.worker}/{self.settings.position}")
+            memory_mb = dict(self.settings.kind_memory_mb).get(entry.kind, math.inf)
+            worker = rs.Worker(entry, rs.stable_hash(entry.worker), tie_hash, memory_mb, INITIAL_CONCURRENCY)
             self.workers[entry.worker], worker.warm_at = worker, warm_at
-        elif entry.started_us != worker.entry.started_us:  # beliefs die with the process
-            self._forget(worker)
-            worker.rest_until, worker.pace_at, worker.cap, worker.warm_at = 0, 0, FIRST_CAP, warm_at
+        elif entry.started_us != worker.entry.started_us:  # a new process: estimates of the old one are void
+            self._forget_copies(worker)
+            worker.backoff_until, worker.relative_latency_at, worker.concurrency_limit, worker.warm_at = (
+                0, 0, INITIAL_CONCURRENCY, warm_at,
+            )  # fmt: skip
         worker.identified = True
-        worker.entry, worker.rank = entry, (entry.zone != self.settings.zone, -worker.order)
+        worker.entry, worker.preference = entry, (entry.zone != self.settings.zone, -worker.tie_hash)
         if entry.state is State.GONE:
-            self._forget(worker)
+            self._forget_copies(worker)
         return worker
 
-    def _restarted(self, event: io.Restarted) -> None:
-        """Rules 2 and 4 while the list is away: it may be a new process, cold, or another worker's."""
+    def _on_restarted(self, event: io.Restarted) -> None:
+        """Rules 2 and 4 while the list is stale: this may be a new, cold process or another worker."""
         if worker := self.workers.get(event.worker):
-            self._forget(worker)
+            self._forget_copies(worker)
             worker.warm_at, worker.identified = self.now + self.settings.cold_us, False
 
-    def _list_state(self, event: io.ListState) -> None:
-        """Who waits for proof is looked at again; a list that is current names every process."""
-        self.look_at = self.now
+    def _on_list_state(self, event: io.ListState) -> None:
+        """Recheck calls that wait for proof of a worker; a list that is current identifies every process."""
+        self.recheck_at = self.now
         if not event.stale:
             for worker in self.workers.values():
                 worker.identified = True
 
-    def _request(self, request: io.Request) -> None:
+    def _on_request(self, request: io.Request) -> None:
         request_class, function = (
-            self.request_classes[request.request_class],
-            self.functions.get(request.function),
-        )
+            self.request_classes[request.request_class], self.functions.get(request.function),
+        )  # fmt: skip
         if function is None:
-            name, load = request.function, request.load_us or LOAD_US
-            function = rs.Function(name, rs.stable_hash(name), load, rs.DecayingRate(RATE_US))
+            name, load = request.function, request.load_us or DEFAULT_LOAD_US
+            function = rs.Function(name, rs.stable_hash(name), load, rs.DecayingRate(RATE_SPAN_US))
             self.functions[name] = function
-        function.memory, function.lanes = request.memory_mb, request.lanes
-        function.rate.add(self.now)
-        self.traffic.add(self.now)
-        self.retries.earn(RETRY_SHARE)
-        self.orders_left.earn(ORDERS)
-        self.taken.add(self.now)
-        kinds = (
-            f"class {request_class.name}",
-            f"tenant {request.tenant}",
-        )  # what a worker may tell calls apart by
-        call = rs.Call(request, request_class, function, self.seq, self.now, kinds)
+        function.memory_mb, function.lanes = request.memory_mb, request.lanes
+        function.arrival_rate.add(self.now)
+        self.arrival_rate.add(self.now)
+        self.retry_tokens.refill(RETRY_SHARE)
+        self.order_tokens.refill(ORDER_SHARE)
+        self.recent_arrivals.add(self.now)
+        keys = f"class {request_class.name}", f"tenant {request.tenant}"  # what a worker may reject calls by
+        call = rs.Call(request, request_class, function, self.seq, self.now, keys)
         self.calls[request.id] = call
-        # Two ticks early: timers land on the next tick, and the answer must precede the deadline.
-        self._after(request.left_us - 2 * self.settings.tick_us, self._finish, call)
-        self._after(request.left_us // 2 - 2 * self.settings.tick_us, self._half, call)
-        self._hold(call)
-
-    def _hold(self, call: rs.Call) -> None:
-        """Put a call in its function's line; one bound to a group waits apart, so that it blocks nobody."""
-        bound = call.bound()
-        call.held = True
-        self.news.add(call.function.name)
-        line = call.function.name, bound.group if bound else ""
-        self.lines.setdefault(line, deque()).append(call)
-
-    def _usual(self, call: rs.Call) -> float:
-        """The usual time of the call's class; at most half of what is wanted, so that a slow fleet serves."""
-        return min(self.usual[call.request_class.name], call.request_class.target_us / 2)
+        # Two ticks early: timers fire on the next tick, and the answer must precede the deadline.
+        self._schedule(request.left_us - 2 * self.settings.tick_us, self._give_final_answer, call)
+        self._schedule(request.left_us // 2 - 2 * self.settings.tick_us, self._check_half_deadline, call)
+        self._enqueue(call)
+
+    def _enqueue(self, call: rs.Call) -> None:
+        """Queue a call for its function; one bound to a group has a separate queue, to block no other."""
+        bound = call.binding_attempt()
+        call.queued = True
+        self.dirty_functions.add(call.function.name)
+        key = call.function.name, bound.repeat_group if bound else ""
+        self.queues.setdefault(key, deque()).append(call)
+
+    def _expected_latency(self, call: rs.Call) -> float:
+        """The class's expected latency, at most half of its target, so that a slow fleet still serves."""
+        return min(self.expected_latency[call.request_class.name], call.request_class.target_us / 2)
 
     def _in_time(self, call: rs.Call) -> bool:
-        """Whether a held call, sent now, would most likely be answered within its wanted time.
+        """Whether a queued call, sent now, would most likely be answered within its target latency.
 
-        A repeat's wanted time began with its first try, so a fleet slow as a whole serves first tries first.
+        A repeat's target counts from its first try, so that a fleet slow as a whole serves first tries first.
         """
-        wanted, least = call.request_class.target_us, self._usual(call)
-        usual, waited = self.usual[call.request_class.name], self.now - call.arrived
+        target, least = call.request_class.target_us, self._expected_latency(call)
+        expected, waited = self.expected_latency[call.request_class.name], self.now - call.arrived_at
         if call.request.repeated:
-            usual += REPEAT_SPENT * wanted
+            expected += REPEAT_SPENT_SHARE * target
         else:
-            usual = least if call.attempts else min(usual, STRAINED * wanted)
-        return waited + usual <= wanted and waited + least <= call.request.left_us
+            expected = least if call.attempts else min(expected, MAX_EXPECTED_SHARE * target)
+        return waited + expected <= target and waited + least <= call.request.left_us
 
-    def _head(self, line: rs.QueueKey) -> rs.Call | None:
-        """The first call of a line that waits and can still be in time; one that can't is answered now.
+    def _next_in_time(self, key: rs.QueueKey) -> rs.Call | None:
+        """The first call of a queue that can still be in time; those before it get their final answer now.
 
-        Against overload and retries that feed it, as it would take the room of one in time.  Hurts where late
-        answers are worth much, and calls that wait for a slow load.
+        A call that would be late takes the room of one in time, under overload and the retries that feed it.
+        This costs worth where late answers are worth much, and for calls that wait for a slow load.
         """
-        queue = self.lines[line]
+        queue = self.queues[key]
         while queue:
             call = queue[0]
-            if call.held and self._in_time(call):
+            if call.queued and self._in_time(call):
                 return call
             queue.popleft()
-            if call.held:
-                call.held = False
-                if not call.outstanding():
-                    self._finish(call)
-        del self.lines[line]
+            if call.queued:
+                call.queued = False
+                if not call.has_attempts_in_flight():
+                    self._give_final_answer(call)
+        del self.queues[key]
         return None
 
-    def _half(self, call: rs.Call) -> None:
-        """Half of a call's time is over and nothing was sent: operators want to hear sooner than later.
+    def _check_half_deadline(self, call: rs.Call) -> None:
+        """Answer a call that was not sent in half of its time: operators prefer an early answer.
 
-        Where no copy of its function stands anywhere, the other half is most likely a load's as well.
+        Only where no copy of its function is loaded: the other half would most likely go to a load as well.
         """
-        if call.held and not call.attempts and not (call.function.holding(self.now) and self._any_serves()):
-            call.held = False
-            self._finish(call)
+        if call.queued and not call.attempts and not (
+            call.function.workers_with_copies(self.now) and self._any_known_to_serve()
+        ):  # fmt: skip
+            call.queued = False
+            self._give_final_answer(call)
 
     def _dispatch(self) -> None:
-        """Place held calls, oldest first; a function that finds no room blocks only itself."""
-        look = self.now >= self.look_at
-        lines = [line for line in self.lines if look or line[0] in self.news]
-        heads = [(call.seq, line) for line in lines if (call := self._head(line))]
-        self.news.clear()
+        """Place queued calls, oldest first; a function that finds no room blocks only itself."""
+        recheck = self.now >= self.recheck_at
+        keys = [key for key in self.queues if recheck or key[0] in self.dirty_functions]
+        heads = [(call.seq, key) for key in keys if (call := self._next_in_time(key))]
+        self.dirty_functions.clear()
         heapq.heapify(heads)
         while heads:
-            _, line = heapq.heappop(heads)
-            call = self._head(line) if line in self.lines else None
+            _, key = heapq.heappop(heads)
+            call = self._next_in_time(key) if key in self.queues else None
             if call and self._place(call):
-                self.lines[line].popleft()
-                if call := self._head(line):
-                    heapq.heappush(heads, (call.seq, line))
-        if self.lines and look:
-            self.look_at = self.now + LOOK_US
-            self._after(LOOK_US, lambda: None)  # a batch then, to look again
+                self.queues[key].popleft()
+                if call := self._next_in_time(key):
+                    heapq.heappush(heads, (call.seq, key))
+        if self.queues and recheck:
+            self.recheck_at = self.now + RECHECK_US
+            self._schedule(RECHECK_US, lambda: None)  # causes a batch, in which queues are rechecked
 
     def _place(self, call: rs.Call) -> bool:
-        """Send a call to the worker chosen for it, or order a copy at a seat and go on holding."""
-        function, seats = call.function, self._seats(call)
-        worker, warm = self._choose(call, seats)
-        if worker and not warm and self._serves(worker):
-            ordered = self.settings.may_load and (function.coming or self._order(worker, function))
-            if ordered or self.settings.misses:  # meanwhile a copy elsewhere may serve
-                worker, warm = self._choose(call, function.holding(self.now))
-        if worker and not self._serves(worker):  # rule 3 while the list is away: its own word first
-            self._ask(worker, function)
+        """Send a call to the worker chosen for it, or order a copy there and leave the call queued."""
+        function, candidates = call.function, self._candidates(call)
+        worker, warm = self._choose(call, candidates)
+        if worker and not warm and self._known_to_serve(worker):
+            ordered = self.settings.may_load and (
+                function.pending_loads or self._order_copy(worker, function)
+            )
+            if ordered or self.settings.misses:  # until the copy is loaded, one at another worker may serve
+                worker, warm = self._choose(call, function.workers_with_copies(self.now))
+        if worker and not self._known_to_serve(worker):  # rule 3 while the list is stale: query it first
+            self._query_copies(worker, function)
             return False
         if worker is None or (self.settings.misses and self.settings.may_load and not warm):
             return False
@@ -243,371 +254,420 @@
         return True
 
     def _choose(self, call: rs.Call, workers: list[rs.Worker]) -> tuple[rs.Worker | None, bool]:
-        """The ranking: warm first, then most of our own in flight, then the tie hash."""
+        """The best worker with room, and whether it is warm: by warmth, calls in flight, then tie hash."""
         function = call.function
-        tried = [a.worker for a in call.attempts if a.out]
+        tried = [a.worker for a in call.attempts if a.in_flight]
         best, best_rank = None, (False, -1, -1)
         for worker in workers:
-            copies = worker.believed(function.name, self.now)
-            rank = (copies > 0, worker.inflight, worker.order)
-            capped = worker.inflight >= int(worker.cap)
-            if rank < best_rank or worker in tried or capped or not self._fit(call, worker):
+            copies = worker.estimated_copies(function.name, self.now)
+            rank = (copies > 0, worker.inflight, worker.tie_hash)
+            at_limit = worker.inflight >= int(worker.concurrency_limit)
+            if rank < best_rank or worker in tried or at_limit or not self._may_have_room(call, worker):
                 continue
-            free = worker.busy.get(function.name, 0) < function.lanes * copies
-            if (free if copies else self._fits(worker, function)) and self._may_send(call, worker):
+            free = worker.inflight_by_function.get(function.name, 0) < function.lanes * copies
+            if (free if copies else self._may_load_copy(worker, function)) and self._may_send(call, worker):
                 best, best_rank = worker, rank
         return best, best_rank[0]
 
-    def _seats(self, call: rs.Call) -> list[rs.Worker]:
-        """Where a function may have room: as many of its homes as our own calls need, by the tie hash.
+    def _candidates(self, call: rs.Call) -> list[rs.Worker]:
+        """Workers that may have room: as many as our own calls need, the preferred ones first.
 
-        Homes come first in an order that all routers share, so that they meet at copies without talking.
+        All routers share the preferred workers, so that they meet at copies without communicating.
         """
-        function, seats = call.function, []
-        need = self._reach(function, self._usual(call)) + (self.now - call.arrived > LOOK_US)
-        for worker in function.order:
-            if self._fit(call, worker):
-                seats.append(worker)
-            if len(seats) == need:
+        function, candidates = call.function, []
+        needed = self._candidate_count(function, self._expected_latency(call)) + (
+            self.now - call.arrived_at > RECHECK_US
+        )
+        for worker in function.ranked_workers:
+            if self._may_have_room(call, worker):
+                candidates.append(worker)
+            if len(candidates) == needed:
                 break
-        return seats
-
-    def _reach(self, function: rs.Function, usual: float) -> int:
-        """How many seats our calls of a function need; its homes come first in its order, ours before all."""
-        lanes = HEADROOM * function.rate.per_us(self.now) * usual / function.lanes
-        # This call is no sign of others.  Few calls tell little, so in doubt more: hundreds of routers that
-        # each took a few for none would all meet on the first home.  Also covers a start, a restart and a
-        # function that turns hot.  May hurt as functions get more homes, hence loads, at quiet routers.
-        others = max(0.0, function.rate.total - 1)
-        calls = others + ERRORS * math.sqrt(others) + DOUBT / max(1, len(self.ready))
-        part = calls / (self.traffic.per_us(self.now) * RATE_US + DOUBT)
-        homes = min(SPREAD * part * len(self.ready), lanes * self.settings.routers)
-        homes = 1 << math.ceil(math.log2(max(1.0, homes, lanes)))  # in steps, so that seats seldom move
-        # An order of many is made anew once a period at most: what has gone is not fit, what comes can wait.
-        due = min(homes, len(self.ready)) <= CANDIDATES or self.now >= function.ordered_at + SWEEP_US
-        if function.homes != homes or (function.listing != self.listing and due):
-            function.listing, function.homes, function.ordered_at = self.listing, homes, self.now
-            shared = self.ring.preferred(function.key, homes + PASSES)
-            function.order = sorted(shared[:homes], key=attrgetter("rank")) + shared[homes:]
+        return candidates
+
+    def _candidate_count(self, function: rs.Function, latency: float) -> int:
+        """How many candidates our calls of a function need; also ranks the function's workers anew if due."""
+        lanes = LANE_HEADROOM * function.arrival_rate.per_us(self.now) * latency / function.lanes
+        # The call that is being placed is no sign of others, hence `total - 1`.  Few calls say little, so the
+        # estimate is high in doubt: hundreds of routers that each took a few calls for none would all meet at
+        # the first preferred worker.  This also covers a start, a restart and a function that becomes hot.
+        # It costs more preferred workers, hence more loads, at routers with few calls.
+        others = max(0.0, function.arrival_rate.total - 1)
+        calls = others + STANDARD_ERRORS * math.sqrt(others) + PRIOR_CALLS / max(1, len(self.ready))
+        share = calls / (self.arrival_rate.per_us(self.now) * RATE_SPAN_US + PRIOR_CALLS)
+        count = min(PREFERRED_MULTIPLE * share * len(self.ready), lanes * self.settings.routers)
+        count = 1 << math.ceil(math.log2(max(1.0, count, lanes)))  # powers of two, so that it seldom changes
+        # A long ranking is renewed once per sweep at most: workers that left have no room, new ones can wait.
+        due = min(count, len(self.ready)) <= MIN_RANKED or self.now >= function.ranked_at + SWEEP_US
+        if function.preferred_count != count or (function.list_version != self.list_version and due):
+            function.list_version, function.preferred_count, function.ranked_at = (
+                self.list_version, count, self.now,
+            )  # fmt: skip
+            shared = self.ring.preferred(function.key, count + FALLBACK_WORKERS)
+            function.ranked_workers = sorted(shared[:count], key=attrgetter("preference")) + shared[count:]
         return max(1, math.ceil(lanes))
 
-    def _fits(self, worker: rs.Worker, function: rs.Function) -> bool:
-        """Cold room: memory for one more copy in our own account, and none coming or just failed."""
-        shut = function.name in worker.coming or self.now < worker.shut.get(function.name, 0)
-        if shut or self.loading >= MOST_LOADS:
+    def _may_load_copy(self, worker: rs.Worker, function: rs.Function) -> bool:
+        """Whether there is memory for one more copy by our estimate, and no load pending or just failed."""
+        paused = function.name in worker.pending_loads or self.now < worker.load_backoff.get(function.name, 0)
+        if paused or self.pending_load_count >= MAX_PENDING_LOADS:
             return False
-        return worker.memory_used(self.now) + function.memory <= worker.memory
+        return worker.memory_used_mb(self.now) + function.memory_mb <= worker.memory_mb
 
-    def _believe(self, worker: rs.Worker, function: rs.Function, count: int) -> None:
-        """A belief rests on a send or an answer and fades past the told idle life."""
-        fades = self.now + self.settings.idle_life_us
-        worker.copies[function.name] = rs.CopyEstimate(count, function.memory, self.now, fades)
+    def _record_copies(self, worker: rs.Worker, function: rs.Function, count: int) -> None:
+        """Estimate copies after a send or an answer; the estimate expires after the idle lifetime."""
+        expires_at = self.now + self.settings.idle_life_us
+        worker.copies[function.name] = rs.CopyEstimate(count, function.memory_mb, self.now, expires_at)
         function.holders[worker.entry.worker] = worker
 
-    def _fit(self, call: rs.Call, worker: rs.Worker) -> bool:
-        """Whether a worker may have room for a call at all, whatever our own calls take of it."""
-        if not worker.ready or self.now < max(worker.rest_until, worker.full_until) or self._suspect(worker):
+    def _may_have_room(self, call: rs.Call, worker: rs.Worker) -> bool:
+        """Whether a worker may have room for a call, apart from what our own calls in flight occupy."""
+        if (
+            not worker.ready
+            or self.now < max(worker.backoff_until, worker.full_until)
+            or self._suspect(worker)
+        ):
             return False
         if self._unproven(worker):
             return False
-        # A 'full' may be meant for a class or tenant: it marks both, and an answer of either clears its mark.
-        if worker.refused and any(self.now < worker.refused.get(kind, 0) for kind in call.kinds):
+        # A 'full' may be meant for a class or tenant: it marks both, and an answer to either clears its mark.
+        if worker.rejections and any(self.now < worker.rejections.get(key, 0) for key in call.rejection_keys):
             return False
         return self._admits(call, worker)
 
-    def _serves(self, worker: rs.Worker) -> bool:
-        """Whether it is known not to drain: by the list, or by its own word where the list may be stale."""
-        return self.list_serves or self.leases.serves(worker.entry.worker, self.now)
+    def _known_to_serve(self, worker: rs.Worker) -> bool:
+        """Whether it is known not to drain: by the list, or by its answers where the list may be stale."""
+        return self.list_is_current or self.leases.serves(worker.entry.worker, self.now)
 
-    def _any_serves(self) -> bool:
-        return self.list_serves or any(map(self._serves, self.ready))
+    def _any_known_to_serve(self) -> bool:
+        return self.list_is_current or any(map(self._known_to_serve, self.ready))
 
     def _unproven(self, worker: rs.Worker) -> bool:
-        """Not known to serve, and not to be asked, or asked and silent: as a worker that hangs."""
-        if self._serves(worker):
+        """Not known to serve, and either can't be queried or has not answered a query: it may hang."""
+        if self._known_to_serve(worker):
             return False
-        return not self.settings.may_load or (worker.asked > 0 and self.now - worker.asked >= ANSWER_US)
+        return not self.settings.may_load or (
+            worker.queried_at > 0 and self.now - worker.queried_at >= QUERY_WAIT_US
+        )
 
     def _suspect(self, worker: rs.Worker) -> bool:
-        """Hung, paused, cut off: old work, no outcomes.  May hurt where one long call is all it has."""
-        return worker.inflight > 0 and self.now - max(worker.quiet_since, self.woke) > LATE * self.latency
+        """Hung, paused or cut off: calls but no outcomes.  Wrong where its only call is a long one."""
+        return worker.inflight > 0 and (
+            self.now - max(worker.silent_since, self.resumed_at) > LATE_MULTIPLE * self.mean_latency_us
+        )
 
-    def _pace(self, worker: rs.Worker) -> float:
-        """How long calls take there against their functions' usual time; old news fade into the kind's."""
-        usual = self.kind_pace.get(worker.entry.kind, 1.0)
-        return usual + (worker.pace - usual) * math.exp((worker.pace_at - self.now) / PACE_US)
+    def _relative_latency(self, worker: rs.Worker) -> float:
+        """A worker's latency over the expected one; decays to the mean of its kind as outcomes get old."""
+        mean = self.kind_relative_latency.get(worker.entry.kind, 1.0)
+        return mean + (worker.relative_latency - mean) * math.exp(
+            (worker.relative_latency_at - self.now) / RELATIVE_LATENCY_DECAY_US
+        )
 
     def _admits(self, call: rs.Call, worker: rs.Worker) -> bool:
-        """A slow or starting worker admits only a part of our calls: what it can do of what others can.
+        """A slow or cold worker admits only a share of our calls: what it can do, relative to the others.
 
-        Slow, crowded and ageing workers and weak kinds alike: all routers take away the same part, which adds
-        up for any number of them.  Against the median, so a fleet slow as a whole serves.  A call's draw is
-        not made again.  One unlucky answer may hurt until it fades.
+        This covers slow, crowded and degrading workers and weak kinds alike.  All routers reduce their calls
+        by the same share, which adds up for any number of them.  It is relative to the median, so that a
+        fleet slow as a whole serves.  A call's draw is not repeated.  One outlier lowers it until it decays.
         """
-        part = min(1.0, self.median / self._pace(worker)) ** 2
+        share = min(1.0, self.median_relative_latency / self._relative_latency(worker)) ** 2
         if self.now < worker.warm_at:
-            return not call.attempts and self._turn(call, worker, part)  # turned away elsewhere adds up here
-        draw = (worker.order ^ call.seq * SPLIT) * SPLIT % 2**64
-        return draw < part * 2**64 or len(self.ready) == 1  # nobody else to leave the others to
-
-    def _turn(self, call: rs.Call, worker: rs.Worker, part: float) -> bool:
-        """Whether we have a turn at a starting worker: our part of what the whole fleet may offer it.
-
-        Turns come at the pace at which warm workers serve us, times the part that it is of one, and lapse
-        after the span of rule 4, so that routers that were quiet can't all come at once.  What warm workers
-        serve is within what they can do, whatever they are offered, so the sum over any number of routers
-        keeps to the told multiple.  Our part of one core's budget in any case: no worker has less.
+            # A call that another worker rejected is not sent here: such calls would add up.
+            return not call.attempts and self._has_ramp_token(call, worker, share)
+        draw = (worker.tie_hash ^ call.seq * HASH_MULTIPLIER) * HASH_MULTIPLIER % 2**64
+        return draw < share * 2**64 or len(self.ready) == 1  # the only worker takes every call
+
+    def _has_ramp_token(self, call: rs.Call, worker: rs.Worker, share: float) -> bool:
+        """Whether a ramp token allows a call to a cold worker: our share of what the fleet may offer it.
+
+        Tokens are issued at the rate at which a warm worker serves us, times the share that the cold worker
+        can do, and expire after the span of rule 4, so that routers that were quiet can't all come at once.
+        What warm workers serve is within their capacity, whatever they are offered, so the sum over any
+        number of routers keeps to the configured multiple.  The rate is at least our share of one core's
+        budget, as no worker has less.
         """
         left = min(1.0, (worker.warm_at - self.now) / max(1, self.settings.cold_us))
-        present = 1 - (1 - self.settings.cold_share) * left  # of its capacity, at the slowest warm-up allowed
-        core = self.settings.fall_multiple * present / self.latency / self.settings.routers
-        # Among few routers that part is also the most: they see little of each worker's chance.
-        if worker.sends.count(self.now - self.settings.fall_us) >= max(1, int(core * self.settings.fall_us)):
+        capacity = 1 - (1 - self.settings.cold_share) * left  # share of the full one, at the slowest warm-up
+        core = self.settings.fall_multiple * capacity / self.mean_latency_us / self.settings.routers
+        # Few routers also send this share at most, as they see little of each worker's random variation.
+        if worker.recent_sends.count(self.now - self.settings.fall_us) >= max(
+            1, int(core * self.settings.fall_us)
+        ):
             return False
-        seen = 1 - math.exp((self.born - SWEEP_US - self.now) / RATE_US)  # of the mean's span, after a start
-        even = self.served.per_us(self.now) / seen / max(1, self.warm or len(self.ready))  # 0 until a sweep
-        pace = TURNS * max(core, even * part * present * self.settings.fall_multiple)
-        return worker.turns.open(self.now, pace, self.settings.fall_us)
+        # The share of the mean's span that has passed since the start.
+        seen = 1 - math.exp((self.started_at - SWEEP_US - self.now) / RATE_SPAN_US)
+        # What a warm worker serves us; 0 until calls were served.
+        even = self.served_rate.per_us(self.now) / seen / max(1, self.warm_count or len(self.ready))
+        per_us = RAMP_BUDGET_SHARE * max(core, even * share * capacity * self.settings.fall_multiple)
+        return worker.ramp_tokens.available(self.now, per_us, self.settings.fall_us)
 
     def _may_send(self, call: rs.Call, worker: rs.Worker) -> bool:
-        """Rule 2: where this call may go, given what its earlier attempts may have done."""
-        bound = call.bound()
+        """Rule 2: whether the call may go here, given what its earlier attempts may have done."""
+        bound = call.binding_attempt()
         if bound is None or call.request_class.effect is Effect.SAFE:
             return True
-        if call.request_class.effect is Effect.UNSAFE or worker.group(call.request_class) != bound.group:
+        if call.request_class.effect is Effect.UNSAFE or (
+            worker.repeat_group(call.request_class) != bound.repeat_group
+        ):
             return False
-        return self.now < bound.sent + call.request_class.memory_us - 2 * self.settings.tick_us
+        return self.now < bound.sent_at + call.request_class.memory_us - 2 * self.settings.tick_us
 
     def _send(self, call: rs.Call, worker: rs.Worker, cold: bool) -> None:
         function = call.function
-        call.held = False
+        call.queued = False
         attempt = rs.Attempt(call, len(call.attempts), worker, self.now, cold)
-        attempt.group = worker.group(call.request_class)
-        worker.turns.used += self.now < worker.warm_at
+        attempt.repeat_group = worker.repeat_group(call.request_class)
+        worker.ramp_tokens.used += self.now < worker.warm_at
         call.attempts.append(attempt)
         worker.begin(function.name, self.now)
         if cold:
-            self._believe(worker, function, 1)
+            self._record_copies(worker, function, 1)
         self.actions.append(io.Send(call.request.id, worker.entry.worker, call.deadline))
-        self._after(LATE * self._usual(call) + (function.load_us if cold else 0), self._late, attempt)
+        self._schedule(
+            LATE_MULTIPLE * self._expected_latency(call) + (function.load_us if cold else 0),
+            self._check_late_attempt, attempt,
+        )  # fmt: skip
 
-    def _outcome(self, event: io.Outcome) -> None:
+    def _on_outcome(self, event: io.Outcome) -> None:
         call = self.calls.get(event.id)
-        if call is None or event.attempt >= len(call.attempts) or not call.attempts[event.attempt].out:
+        if call is None or event.attempt >= len(call.attempts) or not call.attempts[event.attempt].in_flight:
             return
         attempt = call.attempts[event.attempt]
-        attempt.out, attempt.maybe_ran = False, event.status not in io.NEVER_RAN
+        attempt.in_flight, attempt.may_have_run = False, event.status not in io.NEVER_RAN
         attempt.worker.finish(call.function.name)
-        self.news.add(call.function.name)
-        self._learn(attempt, event)
+        self.dirty_functions.add(call.function.name)
+        self._learn_from(attempt, event)
         if event.closed or event.status is Status.OK:
             call.ended = True
-        elif not call.ended and not call.held and not call.outstanding():
-            self._again(call, event.status)
+        elif not call.ended and not call.queued and not call.has_attempts_in_flight():
+            self._retry_or_finish(call, event.status)
         if call.ended:
             self._end(call)
 
-    def _learn(self, attempt: rs.Attempt, event: io.Outcome) -> None:
+    def _learn_from(self, attempt: rs.Attempt, event: io.Outcome) -> None:
+        """Update the state of the worker and the expected latencies from an outcome."""
         worker, function, now = attempt.worker, attempt.call.function, self.now
         held = dict(event.report).get("rif")
         if held is not None:
-            self.usual_held += LEARN * (held - self.usual_held)
-            self._strain(worker, (held + 1) / (self.usual_held + 1))
+            self.expected_held += MEAN_WEIGHT * (held - self.expected_held)
+            self._record_load(worker, (held + 1) / (self.expected_held + 1))
         elif event.status is Status.FULL:
-            self._strain(worker, LATE)
+            self._record_load(worker, LATE_MULTIPLE)
         if event.status in (Status.OK, Status.FULL, Status.MISS):
-            worker.quiet_since, worker.answered = now, max(worker.answered, attempt.sent)
-        if event.note & 7 == LOAD_FAILED:  # no copy stands or comes: as after an order that failed
+            worker.silent_since, worker.last_answered_sent_at = (
+                now, max(worker.last_answered_sent_at, attempt.sent_at),
+            )  # fmt: skip
+        if event.note & 7 == NOTE_LOAD_FAILED:  # no copy is loaded or will be, as after a failed order
             worker.copies.pop(function.name, None)
-            worker.shut[function.name] = now + int(function.load_us)
+            worker.load_backoff[function.name] = now + int(function.load_us)
         match event.status:
             case Status.OK:
                 if now >= worker.warm_at:
-                    self.served.add(now)
+                    self.served_rate.add(now)
                 worker.full_until, worker.failures = 0, 0
-                for kind in attempt.call.kinds:
-                    worker.refused.pop(kind, None)
-                self._believe(worker, function, max(1, worker.believed(function.name, now)))
-                note = event.note & 7  # 0 where answers don't tell, 1 where a copy stood
+                for key in attempt.call.rejection_keys:
+                    worker.rejections.pop(key, None)
+                self._record_copies(worker, function, max(1, worker.estimated_copies(function.name, now)))
+                note = event.note & 7  # 0 where answers carry no note, 1 where a copy was loaded already
                 if note == 1 or not (attempt.cold or note):
-                    self._timed(attempt, event.latency_us)
-                elif attempt.before:  # a new version of what was warm had to load: no sign of a slow worker
-                    pace, cap = attempt.before
-                    worker.pace, worker.cap = min(worker.pace, pace), max(worker.cap, cap)
+                    self._record_latency(attempt, event.latency_us)
+                elif attempt.worker_before_late:  # a new version of a warm copy had to load: not slowness
+                    latency, limit = attempt.worker_before_late
+                    worker.relative_latency, worker.concurrency_limit = (
+                        min(worker.relative_latency, latency), max(worker.concurrency_limit, limit),
+                    )  # fmt: skip
             case Status.FULL:
-                worker.full_until = now + FULL_US
-                if attempt.cold:  # nothing shows that a copy stands or comes
+                worker.full_until = now + FULL_PAUSE_US
+                if attempt.cold:  # nothing shows that a copy is loaded or will be
                     worker.copies.pop(function.name, None)
-                worker.refused |= dict.fromkeys(attempt.call.kinds, now + REFUSED_US)
+                worker.rejections |= dict.fromkeys(attempt.call.rejection_keys, now + REJECTION_PAUSE_US)
             case Status.MISS:
                 worker.copies.pop(function.name, None)
             case Status.RESET | Status.CONNECT_FAILED:
-                self._forget(worker)
-                worker.warm_at = (
-                    now + self.settings.cold_us
-                )  # it may be starting again before the list says so
-                self._rest(worker)
+                self._forget_copies(worker)
+                worker.warm_at = now + self.settings.cold_us  # it may have restarted before the list shows it
+                self._back_off(worker)
             case Status.TIMEOUT if not attempt.call.ended:
-                self._rest(worker)
+                self._back_off(worker)
 
-    def _timed(self, attempt: rs.Attempt, latency: int) -> None:
-        """Learn from how long an answer took: the class's time, the worker's pace and its cap."""
+    def _record_latency(self, attempt: rs.Attempt, latency: int) -> None:
+        """Update the class's expected latency, and the worker's relative latency and concurrency limit."""
         worker, request_class = attempt.worker, attempt.call.request_class
-        if attempt.sent < self.woke:
+        if attempt.sent_at < self.resumed_at:
             return
-        usual = self.usual[request_class.name]
-        self.usual[request_class.name] += LEARN * (min(latency, 2 * LATE * usual) - usual)
-        self._strain(worker, min(latency / usual, 2 * LATE))
-        self.latency += LEARN * (min(latency, LATE * self.latency) - self.latency)
-        step = CAP_STEP * max(-2.0, 1 - latency / (CAP_AIM * request_class.target_us))
-        if step < 0 or worker.inflight + 2 > worker.cap:  # only a cap in use grows
-            worker.cap = min(MOST_CAP, max(1.0, worker.cap + step))
-
-    def _strain(self, worker: rs.Worker, ratio: float) -> None:
-        """One sign of how busy a worker is, against what is usual: a latency, or the calls it holds."""
-        usual, pace = self.kind_pace.setdefault(worker.entry.kind, 1.0), self._pace(worker)
-        self.kind_pace[worker.entry.kind] += LEARN * (ratio - usual)
-        worker.pace, worker.pace_at = pace + PACE_LEARN * (ratio - pace), self.now
-
-    def _rest(self, worker: rs.Worker) -> None:
-        worker.rest_until = self.now + (REST_US << min(worker.failures, REST_DOUBLINGS))
+        expected = self.expected_latency[request_class.name]
+        self.expected_latency[request_class.name] += MEAN_WEIGHT * (
+            min(latency, 2 * LATE_MULTIPLE * expected) - expected
+        )
+        self._record_load(worker, min(latency / expected, 2 * LATE_MULTIPLE))
+        self.mean_latency_us += MEAN_WEIGHT * (
+            min(latency, LATE_MULTIPLE * self.mean_latency_us) - self.mean_latency_us
+        )
+        step = CONCURRENCY_STEP * max(
+            -2.0, 1 - latency / (CONCURRENCY_LATENCY_SHARE * request_class.target_us)
+        )
+        if step < 0 or worker.inflight + 2 > worker.concurrency_limit:  # grows only while it is used up
+            worker.concurrency_limit = min(MAX_CONCURRENCY, max(1.0, worker.concurrency_limit + step))
+
+    def _record_load(self, worker: rs.Worker, ratio: float) -> None:
+        """Record how busy a worker is, over what is expected: by a latency, or by the calls that it holds."""
+        mean, relative_latency = (
+            self.kind_relative_latency.setdefault(worker.entry.kind, 1.0), self._relative_latency(worker),
+        )  # fmt: skip
+        self.kind_relative_latency[worker.entry.kind] += MEAN_WEIGHT * (ratio - mean)
+        worker.relative_latency, worker.relative_latency_at = (
+            relative_latency + RELATIVE_LATENCY_WEIGHT * (ratio - relative_latency), self.now,
+        )  # fmt: skip
+
+    def _back_off(self, worker: rs.Worker) -> None:
+        worker.backoff_until = self.now + (BACKOFF_US << min(worker.failures, MAX_BACKOFF_DOUBLINGS))
         worker.failures += 1
 
-    def _again(self, call: rs.Call, status: Status) -> None:
-        """After a failed attempt: another, rationed as attempts feed an overload, or the final answer.
+    def _retry_or_finish(self, call: rs.Call, status: Status) -> None:
+        """After a failed attempt: queue the call again within the retry budget, or give the final answer.
 
-        Also after 'full': where all workers are, each pass takes work and may begin a load.  A 'miss' is free
-        where the design asks for an order and a resend.  May hurt where few of many workers turn much away.
+        The budget also applies after 'full': where all workers are full, each further attempt costs work and
+        may begin a load.  A 'miss' is free where copies are to be ordered before the call is sent again.  The
+        budget costs calls that could be served where a few of many workers reject much.
         """
-        barred = call.bound() is not None and call.request_class.effect is Effect.UNSAFE
+        barred = call.binding_attempt() is not None and call.request_class.effect is Effect.UNSAFE
         spent = len(call.attempts) >= self.settings.max_attempts
         free = self.settings.misses and status is Status.MISS
-        if barred or spent or not (free or self.retries.spend(1)):
-            self._finish(call)
+        if barred or spent or not (free or self.retry_tokens.take(1)):
+            self._give_final_answer(call)
         else:
-            self._hold(call)
+            self._enqueue(call)
 
-    def _late(self, attempt: rs.Attempt) -> None:
-        """An attempt old for its function: the worker looks slower; if suspect, another may start."""
+    def _check_late_attempt(self, attempt: rs.Attempt) -> None:
+        """Record a late attempt as slow; if its worker is suspect or it seems lost, retry or cancel it."""
         call, settings = attempt.call, self.settings
-        if not attempt.out or call.ended or call.streaming:
+        if not attempt.in_flight or call.ended or call.streaming:
             return
-        # What was sent later has been answered: this one is long or lost, and tells nothing of its worker.
-        # Else a few answers that never come close every worker, and raise the time at which one is late.
-        overtaken = attempt.worker.answered > attempt.sent
+        # If a later attempt has been answered, this one is long or lost and says nothing of its worker: a few
+        # answers that never come would otherwise close every worker, and raise the time that counts as late.
+        overtaken = attempt.worker.last_answered_sent_at > attempt.sent_at
         if not attempt.cold and not overtaken:
-            attempt.before = attempt.before or (self._pace(attempt.worker), attempt.worker.cap)
-            self._timed(attempt, self.now - attempt.sent)
-        if (
-            call.held
-            or call.request_class.effect is Effect.UNSAFE
-            or len(call.attempts) >= settings.max_attempts
-        ):
+            attempt.worker_before_late = attempt.worker_before_late or (
+                self._relative_latency(attempt.worker), attempt.worker.concurrency_limit,
+            )  # fmt: skip
+            self._record_latency(attempt, self.now - attempt.sent_at)
+        if call.queued or call.request_class.effect is Effect.UNSAFE or (
+            len(call.attempts) >= settings.max_attempts
+        ):  # fmt: skip
             return
-        lost = overtaken and self.now - attempt.sent >= 2 * LATE * self._usual(call)
+        lost = overtaken and self.now - attempt.sent_at >= 2 * LATE_MULTIPLE * self._expected_latency(call)
         if not lost and not self._suspect(attempt.worker):
-            self._after(LATE * self._usual(call), self._late, attempt)
-        elif settings.second_copies and self.retries.spend(1):
-            self._hold(call)
-        elif not settings.second_copies and settings.may_cancel and self.retries.left >= 1:
+            self._schedule(LATE_MULTIPLE * self._expected_latency(call), self._check_late_attempt, attempt)
+        elif settings.second_copies and self.retry_tokens.take(1):
+            self._enqueue(call)
+        elif not settings.second_copies and settings.may_cancel and self.retry_tokens.tokens >= 1:
             self.actions.append(io.Cancel(call.request.id, attempt.number))
 
-    def _finish(self, call: rs.Call) -> None:
-        """Rule 1: the one final answer, a refusal where it is true that nothing ran.
+    def _give_final_answer(self, call: rs.Call) -> None:
+        """Rule 1: the one final answer; a refusal only where it is certain that nothing ran.
 
-        Where it may, a refusal tells when to come back: on the next tick, or where answers usually take over
-        half of what is wanted, after what they take beyond it.
+        A refusal may carry a delay before a retry: one tick, or what the expected latency exceeds half of the
+        target by, if that is more.
         """
         if call.ended or call.streaming:
             return
         keyed_by_all = call.request_class.effect is Effect.KEYED and call.request_class.scope == "all"
-        harmless = call.bound() is None or call.request_class.effect is Effect.SAFE or keyed_by_all
-        over = self.usual[call.request_class.name] - call.request_class.target_us / 2
-        wait = min(max(int(over), self.settings.tick_us), self.settings.max_retry_after_us)
-        wait = wait if self.settings.retry_after else 0
-        self.actions.append(io.Refuse(call.request.id, wait) if harmless else io.Fail(call.request.id))
+        harmless = call.binding_attempt() is None or call.request_class.effect is Effect.SAFE or keyed_by_all
+        excess_us = self.expected_latency[call.request_class.name] - call.request_class.target_us / 2
+        wait_us = min(max(int(excess_us), self.settings.tick_us), self.settings.max_retry_after_us)
+        wait_us = wait_us if self.settings.retry_after else 0
+        self.actions.append(io.Refuse(call.request.id, wait_us) if harmless else io.Fail(call.request.id))
         self._end(call)
 
-    def _order(self, worker: rs.Worker, function: rs.Function) -> bool:
-        """Order a copy, within the ration (rule 5): every order counts, in a sliding window.
+    def _order_copy(self, worker: rs.Worker, function: rs.Function) -> bool:
+        """Order a copy within the rate limit (rule 5): every order counts, in a sliding window.
 
-        Where workers load by themselves, also within what our calls earn: hundreds of routers with some calls
-        a second each ordered nearly one for each call, and most found a copy that another had ordered.
+        Where workers load by themselves, orders are also limited to a share of our calls.  Otherwise hundreds
+        of routers with a few calls a second each ordered nearly one copy for each call, and most orders found
+        a copy that another router had ordered.
         """
         settings, name, since = self.settings, function.name, self.now - self.settings.load_window_us
-        allowed = settings.load_free + settings.load_share * self.taken.count(since + 1)
-        if self.orders.count(since - settings.tick_us) + 1 > allowed and settings.load_window_us:
+        allowed = settings.load_free + settings.load_share * self.recent_arrivals.count(since + 1)
+        if self.recent_orders.count(since - settings.tick_us) + 1 > allowed and settings.load_window_us:
             return False
-        if not self.settings.misses and not self.orders_left.spend(1):
+        if not self.settings.misses and not self.order_tokens.take(1):
             return False
-        self.orders.add(self.now)
+        self.recent_orders.add(self.now)
         self.actions.append(io.Load(worker.entry.worker, name, 1))
-        worker.coming[name] = rs.CopyEstimate(1, function.memory, self.now, 0)
-        function.coming, self.loading = function.coming + 1, self.loading + 1
-        self._after(LOAD_STALL * function.load_us, self._load_failed, worker, function, worker.coming[name])
+        worker.pending_loads[name] = rs.CopyEstimate(1, function.memory_mb, self.now, 0)
+        function.pending_loads, self.pending_load_count = (
+            function.pending_loads + 1, self.pending_load_count + 1,
+        )  # fmt: skip
+        self._schedule(
+            LOAD_TIMEOUT_MULTIPLE * function.load_us,
+            self._load_failed, worker, function, worker.pending_loads[name],
+        )  # fmt: skip
         return True
 
-    def _ask(self, worker: rs.Worker, function: rs.Function) -> None:
-        """Ask how many copies stand, which proves that it serves; one question to a worker at a time."""
-        if worker.asked:
+    def _query_copies(self, worker: rs.Worker, function: rs.Function) -> None:
+        """Ask how many copies are loaded: an answer proves that the worker serves.  One query at a time."""
+        if worker.queried_at:
             return
-        worker.asked = self.now
+        worker.queried_at = self.now
         self.actions.append(io.Load(worker.entry.worker, function.name, 0))
-        self._after(ANSWER_US, self._look)
+        self._schedule(QUERY_WAIT_US, self._recheck_now)
 
-    def _look(self) -> None:
-        self.look_at = self.now
+    def _recheck_now(self) -> None:
+        self.recheck_at = self.now
 
-    def _answered(self, worker: rs.Worker, event: io.Loaded) -> None:
-        """A question has ended.  Who drains or says nothing is left alone for a while, as after a failure."""
-        worker.asked, self.look_at = 0, self.now
+    def _on_query_answered(self, worker: rs.Worker, event: io.Loaded) -> None:
+        """Handle the end of a query; a worker that drains or does not answer is backed off from."""
+        worker.queried_at, self.recheck_at = 0, self.now
         if event.status is Status.OK:
             worker.failures = 0
             if not event.copies:
                 worker.copies.pop(event.function, None)
-            elif event.function in self.functions and not worker.believed(event.function, self.now):
-                self._believe(worker, self.functions[event.function], event.copies)
-        elif event.status is Status.MOOT:  # for a reason of ours
-            worker.full_until = self.now + FULL_US
+            elif event.function in self.functions and not worker.estimated_copies(event.function, self.now):
+                self._record_copies(worker, self.functions[event.function], event.copies)
+        elif event.status is Status.MOOT:  # the query ended for a reason on our side
+            worker.full_until = self.now + FULL_PAUSE_US
         else:
-            self._rest(worker)
+            self._back_off(worker)
 
     def _load_failed(self, worker: rs.Worker, function: rs.Function, order: rs.CopyEstimate) -> None:
-        if worker.coming.get(function.name) is order:  # failed or stalled: not here for a while
-            self._arrived(worker, function)
-            worker.shut[function.name] = self.now + int(function.load_us)
+        """After a load that failed or timed out, order no copy of the function there for one load time."""
+        if worker.pending_loads.get(function.name) is order:
+            self._clear_pending_load(worker, function)
+            worker.load_backoff[function.name] = self.now + int(function.load_us)
 
-    def _loaded(self, event: io.Loaded) -> None:
+    def _on_loaded(self, event: io.Loaded) -> None:
         worker, function = self.workers.get(event.worker), self.functions.get(event.function)
         if worker is None:
             return
         if event.asked:
-            self._answered(worker, event)
+            self._on_query_answered(worker, event)
             return
         if function is None:
             return
-        coming, stand = worker.coming.get(function.name), event.copies > 0
-        self.news.add(function.name)
-        if stand:
-            self._believe(worker, function, event.copies)
-        if coming and event.status is not Status.OK:
-            self._load_failed(worker, function, coming)
+        order, loaded = worker.pending_loads.get(function.name), event.copies > 0
+        self.dirty_functions.add(function.name)
+        if loaded:
+            self._record_copies(worker, function, event.copies)
+        if order and event.status is not Status.OK:
+            self._load_failed(worker, function, order)
             if event.status in (Status.RESET, Status.CONNECT_FAILED):
-                self._rest(worker)
-        elif coming and stand:
-            self._arrived(worker, function)
+                self._back_off(worker)
+        elif order and loaded:
+            self._clear_pending_load(worker, function)
 
     def _sweep(self) -> None:
-        """Now and then: the fleet's median pace, and what can be forgotten."""
-        self._after(SWEEP_US, self._sweep)
-        self.warm = sum(self.now >= worker.warm_at for worker in self.ready)
-        paces = sorted(map(self._pace, self.ready))
-        self.median = max(0.1, paces[len(paces) // 2]) if paces else 1.0
-        self.taken.count(self.now - self.settings.load_window_us)  # keeps the window short
+        """Periodically: update the median relative latency, and drop expired state."""
+        self._schedule(SWEEP_US, self._sweep)
+        self.warm_count = sum(self.now >= worker.warm_at for worker in self.ready)
+        ratios = sorted(map(self._relative_latency, self.ready))
+        self.median_relative_latency = max(0.1, ratios[len(ratios) // 2]) if ratios else 1.0
+        self.recent_arrivals.count(self.now - self.settings.load_window_us)  # keeps the window short
         for worker in list(self.workers.values()):
-            worker.tidy(self.now, self.now - self.settings.fall_us)
-            if worker.entry.state is State.GONE and not worker.inflight:  # else every one that left stays
+            worker.prune(self.now, self.now - self.settings.fall_us)
+            if worker.entry.state is State.GONE and not worker.inflight:  # otherwise all that left would stay
                 del self.workers[worker.entry.worker]
         for function in list(self.functions.values()):
-            if not function.coming and self.now - function.rate.at > KEEP_LIVES * self.settings.idle_life_us:
+            if not function.pending_loads and (
+                self.now - function.arrival_rate.at > FUNCTION_KEEP_LIFETIMES * self.settings.idle_life_us
+            ):
                 del self.functions[function.name]
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -147,7 +147,7 @@
             self._evidence.advance(self._now)
         due = self._wheel.due(self._now)
         tokens = [io.Timer(what[1]) for what in due if isinstance(what, tuple) and what[0] == self._books]
-        late = min((self.router.due(event) for event in tokens), default=self._now)
+        late = min((self.router.due_at(event) for event in tokens), default=self._now)
         if (
             self._now - late > LATE_US
         ):  # one batch, as the module tells a gap of our own by a late timer in it
@@ -674,11 +674,16 @@
             self._out.append(ports.Recall(number))
         self._orders.clear()
         self._feed([io.Members(io.ListKind.FULL, tuple(self.list.entries()))])
-        new.taken, new.orders, new.retries = old.taken, old.orders, old.retries
+        new.recent_arrivals, new.recent_orders, new.retry_tokens = (
+            old.recent_arrivals, old.recent_orders, old.retry_tokens,
+        )  # fmt: skip
         for name, worker in new.workers.items():
             if name in old.workers:
-                worker.sends, worker.warm_at = old.workers[name].sends, old.workers[name].warm_at
-                worker.rest_until = old.workers[name].rest_until
+                worker.recent_sends, worker.warm_at = (
+                    old.workers[name].recent_sends,
+                    old.workers[name].warm_at,
+                )
+                worker.backoff_until = old.workers[name].backoff_until
         self._rebuilding = False
         for call in list(self._calls.values()):
             if call.settled or call.awaits:
@@ -772,7 +777,7 @@
         elif self._settings.order_timeout_us:
             due = self._now + self._settings.order_timeout_us
         self._ordered(number, Order(act.worker, act.function, act.copies, self._now, due))
-        memory, lanes = (known.memory, known.lanes) if known else (0.0, 1)
+        memory, lanes = (known.memory_mb, known.lanes) if known else (0.0, 1)
         self._out.append(ports.Order(number, act.worker, act.function, act.copies, memory, lanes))
 
     def _ordered(self, number: int, order: Order) -> None:
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -125,7 +125,7 @@
             self.journal.append(out.record)
         elif isinstance(out, ports.Order) and self.orders:
             known = self.engine.router.functions.get(out.function)
-            holders = known.holding(self.clock.now_us()) if known else ()
+            holders = known.workers_with_copies(self.clock.now_us()) if known else ()
             self.orders.order(out, len(holders))
         elif isinstance(out, ports.Recall) and self.orders and self.orders.recall(out):
             pass  # it had not gone out
--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -17,12 +17,23 @@
 
 from swiftwell import interface as io
 from swiftwell import router_state as rs
-from swiftwell.choice import FIRST_CAP, RATE_US, Router
+from swiftwell.choice import INITIAL_CONCURRENCY, RATE_SPAN_US, Router
 from swiftwell.interface import Effect, State
 
 # Fields of a request by identifier, with the name that a snapshot stores them under.
 _REQUEST = {name: {"request_class": "band"}.get(name, name) for name in io.Request._fields}
 
+# Timers by the method that they call, with the name that a snapshot stores them under.
+_TIMERS = {
+    "_sweep": "_sweep",
+    "_watch": "_watch",
+    "_give_final_answer": "_finish",
+    "_check_half_deadline": "_half",
+    "_check_late_attempt": "_late",
+    "_load_failed": "_load_failed",
+}
+_METHODS = {stored: method for method, stored in _TIMERS.items()}
+
 
 class Copies(msgspec.Struct, array_like=True):
     """A belief: copies, MB of one, since and until when (monotonic us)."""
@@ -43,7 +54,7 @@
     started_us: int = 0
     zone: str = ""
     cell: int = 0
-    cap: float = FIRST_CAP
+    cap: float = INITIAL_CONCURRENCY
     inflight: int = 0
     busy: dict[str, int] = {}
     copies: dict[str, Copies] = {}
@@ -153,13 +164,13 @@
     )
 
 
-def _belief(belief: rs.CopyEstimate) -> Copies:
-    return Copies(belief.count, belief.memory, belief.since, belief.fades)
+def _copies(estimate: rs.CopyEstimate) -> Copies:
+    return Copies(estimate.count, estimate.memory_mb, estimate.made_at, estimate.expires_at)
 
 
 def _timer(router: Router, token: int, act: Any, args: tuple, due: int) -> TimerBooks | None:
     """A timer, unless what it is about has ended: then it would do nothing."""
-    name = getattr(act, "__name__", "")
+    name = _TIMERS.get(getattr(act, "__name__", ""), "")
     if name in ("_sweep", "_watch"):
         return TimerBooks(token, name, [], due)
     if name in ("_finish", "_half"):
@@ -171,11 +182,11 @@
         )
     if name == "_late":
         one = args[0]
-        live = one.out and not one.call.ended and router.calls.get(one.call.request.id) is one.call
+        live = one.in_flight and not one.call.ended and router.calls.get(one.call.request.id) is one.call
         return TimerBooks(token, name, [one.call.request.id, one.number], due) if live else None
     if name == "_load_failed":
         worker, function, order = args
-        live = worker.coming.get(function.name) is order
+        live = worker.pending_loads.get(function.name) is order
         return TimerBooks(token, name, [worker.entry.worker, function.name], due) if live else None
     return TimerBooks(token, "look", [], due)
 
@@ -183,24 +194,24 @@
 def take(router: Router, calls: bool = True) -> RouterBooks:
     """The books of a router, between two of its `handle`s; without calls, lines and timers unless `calls`."""
     out = RouterBooks(
-        taken=list(router.taken.times),
-        orders=list(router.orders.times),
-        retries=router.retries.left,
-        latency=router.latency,
-        traffic_total=router.traffic.total,
-        traffic_at=router.traffic.at,
-        served_total=router.served.total,
-        served_at=router.served.at,
-        born=router.born,
-        warm=router.warm,
-        usual=dict(router.usual),
-        kind_pace=dict(router.kind_pace),
-        usual_held=router.usual_held,
-        orders_left=router.orders_left.left,
-        median=router.median,
-        look_at=router.look_at,
-        woke=router.woke,
-        loading=router.loading,
+        taken=list(router.recent_arrivals.times),
+        orders=list(router.recent_orders.times),
+        retries=router.retry_tokens.tokens,
+        latency=router.mean_latency_us,
+        traffic_total=router.arrival_rate.total,
+        traffic_at=router.arrival_rate.at,
+        served_total=router.served_rate.total,
+        served_at=router.served_rate.at,
+        born=router.started_at,
+        warm=router.warm_count,
+        usual=dict(router.expected_latency),
+        kind_pace=dict(router.kind_relative_latency),
+        usual_held=router.expected_held,
+        orders_left=router.order_tokens.tokens,
+        median=router.median_relative_latency,
+        look_at=router.recheck_at,
+        woke=router.resumed_at,
+        loading=router.pending_load_count,
         seq=router.seq,
         now=router.now,
     )
@@ -215,36 +226,53 @@
                 entry.started_us,
                 entry.zone,
                 entry.cell,
-                worker.cap,
+                worker.concurrency_limit,
                 worker.inflight,
-                dict(worker.busy),
-                {name: _belief(b) for name, b in worker.copies.items()},
-                {name: _belief(b) for name, b in worker.coming.items()},
-                dict(worker.shut),
-                dict(worker.refused),
-                list(worker.sends.times),
-                worker.quiet_since,
+                dict(worker.inflight_by_function),
+                {name: _copies(b) for name, b in worker.copies.items()},
+                {name: _copies(b) for name, b in worker.pending_loads.items()},
+                dict(worker.load_backoff),
+                dict(worker.rejections),
+                list(worker.recent_sends.times),
+                worker.silent_since,
                 worker.full_until,
-                worker.rest_until,
+                worker.backoff_until,
                 worker.failures,
-                worker.pace,
-                worker.pace_at,
+                worker.relative_latency,
+                worker.relative_latency_at,
                 worker.warm_at,
-                worker.answered,
-                (worker.turns.come, worker.turns.used, worker.turns.at),
+                worker.last_answered_sent_at,
+                (worker.ramp_tokens.issued, worker.ramp_tokens.used, worker.ramp_tokens.at),
             )
         )
     for f in router.functions.values():
         holders = [name for name, worker in f.holders.items() if router.workers.get(name) is worker]
         out.functions.append(
-            FunctionBooks(f.name, f.load_us, f.rate.total, f.rate.at, f.memory, f.lanes, f.coming, holders)
+            FunctionBooks(
+                f.name,
+                f.load_us,
+                f.arrival_rate.total,
+                f.arrival_rate.at,
+                f.memory_mb,
+                f.lanes,
+                f.pending_loads,
+                holders,
+            )
         )
     if not calls:
         return out
     for call in router.calls.values():
         request = {_REQUEST[name]: value for name, value in call.request._asdict().items()}
         attempts = [
-            AttemptBooks(a.worker.entry.worker, a.sent, a.cold, a.out, a.maybe_ran, a.before, a.group)
+            AttemptBooks(
+                a.worker.entry.worker,
+                a.sent_at,
+                a.cold,
+                a.in_flight,
+                a.may_have_run,
+                a.worker_before_late,
+                a.repeat_group,
+            )
             for a in call.attempts
         ]
         out.calls.append(
@@ -252,15 +280,15 @@
                 request,
                 encode_request_class(call.request_class),
                 call.seq,
-                call.arrived,
+                call.arrived_at,
                 attempts,
-                call.held,
+                call.queued,
                 call.ended,
                 call.streaming,
             )
         )
-    for (function, group), queue in router.lines.items():
-        out.lines.append((function, group, [call.request.id for call in queue if call.held]))
+    for (function, group), queue in router.queues.items():
+        out.lines.append((function, group, [call.request.id for call in queue if call.queued]))
     for token, (act, args, due) in router._timers.items():
         if timer := _timer(router, token, act, args, due):
             out.timers.append(timer)
@@ -270,17 +298,20 @@
 def put(router: Router, books: RouterBooks) -> None:
     """Give a new router the books of an old one.  Its own settings hold: a class or kind that they lack is
     carried along for the calls that have it."""
-    router.taken.times, router.orders.times = deque(books.taken), deque(books.orders)
-    router.retries.left = min(books.retries, router.retries.most)
-    router.latency = books.latency or router.latency
-    router.traffic = rs.DecayingRate(RATE_US, books.traffic_total, books.traffic_at)
-    router.served, router.born = rs.DecayingRate(RATE_US, books.served_total, books.served_at), books.born
-    router.warm = books.warm
-    router.usual |= books.usual
-    router.kind_pace = dict(books.kind_pace)
-    router.usual_held, router.median = books.usual_held, books.median
-    router.orders_left.left = min(books.orders_left, router.orders_left.most)
-    router.look_at, router.woke, router.loading = books.look_at, books.woke, books.loading
+    router.recent_arrivals.times, router.recent_orders.times = deque(books.taken), deque(books.orders)
+    router.retry_tokens.tokens = min(books.retries, router.retry_tokens.capacity)
+    router.mean_latency_us = books.latency or router.mean_latency_us
+    router.arrival_rate = rs.DecayingRate(RATE_SPAN_US, books.traffic_total, books.traffic_at)
+    router.served_rate, router.started_at = (
+        rs.DecayingRate(RATE_SPAN_US, books.served_total, books.served_at),
+        books.born,
+    )
+    router.warm_count = books.warm
+    router.expected_latency |= books.usual
+    router.kind_relative_latency = dict(books.kind_pace)
+    router.expected_held, router.median_relative_latency = books.usual_held, books.median
+    router.order_tokens.tokens = min(books.orders_left, router.order_tokens.capacity)
+    router.recheck_at, router.resumed_at, router.pending_load_count = books.look_at, books.woke, books.loading
     router.seq, router.now = max(1, books.seq), books.now
     memory = dict(router.settings.kind_memory_mb)
     for b in books.workers:
@@ -308,16 +339,16 @@
             b.answered,
         )
         if b.turns:
-            worker.turns = rs.RampTokens(*b.turns)
-        worker.rank = (worker.entry.zone != router.settings.zone, -worker.order)
+            worker.ramp_tokens = rs.RampTokens(*b.turns)
+        worker.preference = (worker.entry.zone != router.settings.zone, -worker.tie_hash)
         router.workers[b.worker] = worker
     router.ring.update(list(router.workers.values()))
-    router.listing = 1
+    router.list_version = 1
     for f in books.functions:
         function = rs.Function(
-            f.name, rs.stable_hash(f.name), f.load_us, rs.DecayingRate(RATE_US, f.total, f.at)
+            f.name, rs.stable_hash(f.name), f.load_us, rs.DecayingRate(RATE_SPAN_US, f.total, f.at)
         )
-        function.memory, function.lanes, function.coming = f.memory, f.lanes, f.coming
+        function.memory_mb, function.lanes, function.pending_loads = f.memory, f.lanes, f.coming
         function.holders = {name: router.workers[name] for name in f.holders if name in router.workers}
         router.functions[f.name] = function
     for c in books.calls:
@@ -325,7 +356,7 @@
     for function_name, group, ids in books.lines:
         queue = deque(router.calls[one] for one in ids if one in router.calls)
         if queue:
-            router.lines[function_name, group] = queue
+            router.queues[function_name, group] = queue
     for timer in books.timers:
         _timer_in(router, timer)
 
@@ -335,7 +366,7 @@
         **{name: c.request[stored] for name, stored in _REQUEST.items() if stored in c.request}
     )
     request_class = router.request_classes.get(request.request_class) or decode_request_class(c.request_class)
-    router.usual.setdefault(request_class.name, request_class.target_us / 4)
+    router.expected_latency.setdefault(request_class.name, request_class.target_us / 4)
     function = router.functions.get(request.function)
     if function is None:
         load = request.load_us or 800_000
@@ -343,19 +374,19 @@
             request.function,
             rs.stable_hash(request.function),
             load,
-            rs.DecayingRate(RATE_US),
+            rs.DecayingRate(RATE_SPAN_US),
             request.memory_mb,
             request.lanes,
         )
         router.functions[request.function] = function
     kinds = f"class {request_class.name}", f"tenant {request.tenant}"
     call = rs.Call(request, request_class, function, c.seq, c.arrived, kinds)
-    call.held, call.ended, call.streaming = c.held, c.ended, c.streaming
+    call.queued, call.ended, call.streaming = c.held, c.ended, c.streaming
     for number, a in enumerate(c.attempts):
         worker = router.workers.get(a.worker)
         if worker is None:  # it was forgotten: nothing of ours is out there
             entry = io.WorkerEntry(a.worker, State.GONE, "", 1.0, 0, "", 0)
-            worker = rs.Worker(entry, 0, 0, math.inf, FIRST_CAP)
+            worker = rs.Worker(entry, 0, 0, math.inf, INITIAL_CONCURRENCY)
         attempt = rs.Attempt(call, number, worker, a.sent, a.cold, a.out, a.maybe_ran, a.group, a.before)
         call.attempts.append(attempt)
     router.calls[request.id] = call
@@ -366,16 +397,19 @@
     args: tuple = ()
     match timer.act, timer.about:
         case (("_sweep" | "_watch"), _):
-            act = getattr(router, timer.act)
+            act = getattr(router, _METHODS[timer.act])
         case (("_finish" | "_half"), [str(call)]) if call in router.calls:
-            act, args = getattr(router, timer.act), (router.calls[call],)
+            act, args = getattr(router, _METHODS[timer.act]), (router.calls[call],)
         case "_late", [str(call), int(number)] if call in router.calls:
-            act, args = router._late, (router.calls[call].attempts[number],)
+            act, args = router._check_late_attempt, (router.calls[call].attempts[number],)
         case "_load_failed", [str(name), str(function)] if (
             name in router.workers and function in router.functions
         ):
             worker = router.workers[name]
-            act, args = router._load_failed, (worker, router.functions[function], worker.coming.get(function))
+            act, args = (
+                router._load_failed,
+                (worker, router.functions[function], worker.pending_loads.get(function)),
+            )
         case "look", _:
             act = _nothing
     if act:
--- a/swiftwell/lab/baselines.py
+++ b/swiftwell/lab/baselines.py
@@ -28,7 +28,7 @@
         if not able:
             return False
         worker = self._pick(call, able)
-        self._send(call, worker, not worker.believed(call.function.name, self.now))
+        self._send(call, worker, not worker.estimated_copies(call.function.name, self.now))
         return True
 
     def _pick(self, call: rs.Call, able: list[rs.Worker]) -> rs.Worker:
--- a/swiftwell/router_state.py
+++ b/swiftwell/router_state.py
@@ -1,4 +1,7 @@
-"""The records that swiftwell.choice keeps its books in.  Nothing is decided here."""
+"""The state of a router: the tables and timers that swiftwell.choice decides from.  Nothing is decided here.
+
+Times and durations are whole microseconds, memory is in MB.
+"""
 
 from __future__ import annotations
 
@@ -13,24 +16,24 @@
 
 
 class Leases(Protocol):
-    """What is proven of workers where the list may be stale (discovery/worker_leases)."""
+    """Which workers are known not to drain while the worker list may be stale (discovery/worker_leases)."""
 
     def list_serves(self, now_us: int) -> bool:
-        """Whether the list's word on every worker still holds."""
+        """Whether the worker list is current, so that the state it gives of every worker holds."""
         ...
 
     def serves(self, worker: str, now_us: int) -> bool:
-        """Whether a send to a listed worker that is decided now keeps the rule on drains."""
+        """Whether a send to a listed worker, decided now, keeps the rule on drains."""
         ...
 
 
 def stable_hash(text: str) -> int:
-    """The same number for a text in every process."""
+    """A 64-bit hash of a text that is the same in every process."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def listed(event: io.Members, known: dict[str, Worker]) -> list[io.WorkerEntry]:
-    """The entries an update changes; a worker that a full list leaves out has gone."""
+def changed_entries(event: io.Members, known: dict[str, Worker]) -> list[io.WorkerEntry]:
+    """The entries that an update changes; a worker that a full list omits is marked as gone."""
     entries = list(event.entries)
     if event.how is not io.ListKind.DELTA:
         named = {entry.worker for entry in entries}
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Events a microsecond, averaged over a span that the user states."""
+    """An exponentially decaying event rate, averaged over `span_us`."""
 
     span_us: int
     total: float = 0.0
@@ -57,24 +60,25 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that are earned up to a limit and spent."""
+    """A token bucket that the caller refills explicitly."""
 
-    most: float
-    left: float
+    capacity: float
+    tokens: float
 
-    def earn(self, tokens: float) -> None:
-        self.left = min(self.most, self.left + tokens)
+    def refill(self, tokens: float) -> None:
+        self.tokens = min(self.capacity, self.tokens + tokens)
 
-    def spend(self, tokens: float) -> bool:
-        if self.left < tokens:
+    def take(self, tokens: float) -> bool:
+        """Take tokens if there are enough; whether there were."""
+        if self.tokens < tokens:
             return False
-        self.left -= tokens
+        self.tokens -= tokens
         return True
 
 
 @dataclass(slots=True)
 class SlidingWindow:
-    """The times of events, to count those of late."""
+    """Timestamps of events, to count the recent ones."""
 
     times: deque[int] = field(default_factory=deque)
 
@@ -82,6 +86,7 @@
         self.times.append(now)
 
     def count(self, since: int) -> int:
+        """Count the events at or after `since`, and drop the older ones."""
         while self.times and self.times[0] < since:
             self.times.popleft()
         return len(self.times)
@@ -89,28 +94,28 @@
 
 @dataclass(slots=True)
 class RampTokens:
-    """Turns that come at a pace, each of which lapses after a span."""
+    """Tokens that are issued at a given rate and expire after a span; a call to a cold worker uses one."""
 
-    come: float  # so many have come; between 0 and 1 at first, so that routers don't begin together
-    used: int = 0  # used or lapsed
+    issued: float  # starts between 0 and 1, different for each router, so that routers don't begin together
+    used: int = 0  # used or expired
     at: int = 0
 
-    def open(self, now: int, per_us: float, span_us: int) -> bool:
-        """Whether a turn is open at this pace."""
-        self.come += per_us * (now - self.at if self.at else 0)
+    def available(self, now: int, per_us: float, span_us: int) -> bool:
+        """Issue the tokens due at this rate, expire the old ones; whether an unused one is left."""
+        self.issued += per_us * (now - self.at if self.at else 0)
         self.at = now
-        self.used = max(self.used, math.floor(self.come - per_us * span_us))
-        return self.used < math.floor(self.come)
+        self.used = max(self.used, math.floor(self.issued - per_us * span_us))
+        return self.used < math.floor(self.issued)
 
 
 @dataclass(slots=True)
 class CopyEstimate:
-    """Copies of a function at a worker; a belief made at `since` holds until `fades`."""
+    """Estimated copies of a function at a worker; made at `made_at`, valid until `expires_at`."""
 
     count: int
-    memory: float
-    since: int
-    fades: int
+    memory_mb: float
+    made_at: int
+    expires_at: int
 
 
 @dataclass(slots=True, eq=False)
@@ -120,187 +125,194 @@
     call: Call
     number: int
     worker: Worker
-    sent: int
+    sent_at: int
     cold: bool
-    out: bool = True
-    maybe_ran: bool = True  # until its outcome proves otherwise
-    group: str = "all"  # the workers that drop repeats of it, as the list had them when it was sent
-    before: tuple[float, float] | None = None  # its worker's pace and cap before it was seen to be late
+    in_flight: bool = True
+    may_have_run: bool = True  # until its outcome proves that it didn't
+    repeat_group: str = "all"  # workers that drop repeats of it, by the worker list when it was sent
+    # The worker's relative latency and concurrency limit before this attempt was recorded as late.
+    worker_before_late: tuple[float, float] | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A request from its arrival until nothing of it is outstanding."""
+    """A request, from its arrival until it has its final answer and no attempt is in flight."""
 
     request: io.Request
     request_class: io.RequestClass
     function: Function
     seq: int
-    arrived: int
-    kinds: tuple[str, ...]
+    arrived_at: int
+    rejection_keys: tuple[str, ...]
     attempts: list[Attempt] = field(default_factory=list)
-    held: bool = False
+    queued: bool = False
     ended: bool = False
     streaming: bool = False
 
     @property
     def deadline(self) -> int:
-        return self.arrived + self.request.left_us
+        return self.arrived_at + self.request.left_us
 
-    def bound(self) -> Attempt | None:
-        """The first attempt that may have run: it binds where further ones may go."""
-        return next((a for a in self.attempts if a.maybe_ran), None)
+    def binding_attempt(self) -> Attempt | None:
+        """The first attempt that may have run: it restricts where further attempts may go."""
+        return next((a for a in self.attempts if a.may_have_run), None)
 
-    def outstanding(self) -> bool:
-        return any(a.out for a in self.attempts)
+    def has_attempts_in_flight(self) -> bool:
+        return any(a.in_flight for a in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
 class Function:
-    """What is known of a function."""
+    """What the router knows of a function."""
 
     name: str
-    key: int  # the same at every router
+    key: int  # hash of its name, the same at every router
     load_us: float
-    rate: DecayingRate
-    memory: float = 0.0
-    lanes: int = 1
-    coming: int = 0
-    holders: dict[str, Worker] = field(default_factory=dict)  # believed to hold a copy
-    listing: int = -1  # the listing that `order` was made from
-    ordered_at: int = 0
-    homes: int = 0  # so many of its preferred workers are homes
-    order: list[Worker] = field(default_factory=list)  # the homes in our own order, then those passed on to
-
-    def holding(self, now: int) -> list[Worker]:
-        """The workers believed to hold a copy; the others are dropped."""
-        self.holders = {name: w for name, w in self.holders.items() if w.believed(self.name, now)}
+    arrival_rate: DecayingRate
+    memory_mb: float = 0.0
+    lanes: int = 1  # calls that one copy runs at a time
+    pending_loads: int = 0  # copies ordered and not yet loaded, at all workers
+    holders: dict[str, Worker] = field(default_factory=dict)  # workers estimated to hold a copy
+    list_version: int = -1  # version of the worker list that `ranked_workers` was made from
+    ranked_at: int = 0
+    preferred_count: int = 0  # length of the preferred part of `ranked_workers`
+    ranked_workers: list[Worker] = field(default_factory=list)  # preferred in our own order, then fallbacks
+
+    def workers_with_copies(self, now: int) -> list[Worker]:
+        """The workers estimated to hold a copy; forgets the others."""
+        self.holders = {name: w for name, w in self.holders.items() if w.estimated_copies(self.name, now)}
         return list(self.holders.values())
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """What is known of a worker."""
+    """What the router knows of a worker."""
 
     entry: io.WorkerEntry
-    key: int  # the same at every router
-    order: int  # breaks ties in the ranking, by our own number
-    memory: float
-    cap: float
+    key: int  # hash of its id, the same at every router
+    tie_hash: int  # breaks ties in the ranking; each router has its own
+    memory_mb: float
+    concurrency_limit: float
     inflight: int = 0
-    busy: dict[str, int] = field(default_factory=dict)  # function: in flight
+    inflight_by_function: dict[str, int] = field(default_factory=dict)
     copies: dict[str, CopyEstimate] = field(default_factory=dict)
-    coming: dict[str, CopyEstimate] = field(default_factory=dict)  # ordered at `since`, not yet standing
-    shut: dict[str, int] = field(default_factory=dict)  # function: no new copy before
-    refused: dict[str, int] = field(default_factory=dict)  # class or tenant: turned away, none before
-    sends: SlidingWindow = field(default_factory=SlidingWindow)
-    turns: RampTokens = field(init=False)  # at it while it starts
-    quiet_since: int = 0
+    pending_loads: dict[str, CopyEstimate] = field(default_factory=dict)  # ordered, not yet loaded
+    load_backoff: dict[str, int] = field(default_factory=dict)  # function: no load order before this time
+    rejections: dict[str, int] = field(default_factory=dict)  # class or tenant rejected: no calls before
+    recent_sends: SlidingWindow = field(default_factory=SlidingWindow)
+    ramp_tokens: RampTokens = field(init=False)  # for calls while it is cold
+    silent_since: int = 0  # last outcome, or start of the oldest call since it was idle
     full_until: int = 0
-    rest_until: int = 0
-    failures: int = 0
-    pace: float = 1.0
-    pace_at: int = 0
-    warm_at: int = 0  # warmed up by then at the latest
-    answered: int = 0  # when the latest sent of the attempts that it answered was sent
-    asked: int = 0  # when the question that has no answer yet was sent; 0 where there is none
-    identified: bool = True  # its process is the one that the list names
-    rank: tuple[bool, int] = (False, 0)  # among homes: those of our zone first, then by the tie hash
+    backoff_until: int = 0
+    failures: int = 0  # consecutive
+    relative_latency: float = 1.0  # latency over the expected one
+    relative_latency_at: int = 0
+    warm_at: int = 0  # warmed up by this time at the latest
+    last_answered_sent_at: int = 0  # send time of the latest-sent attempt that it has answered
+    queried_at: int = 0  # send time of the unanswered copy query; 0 where there is none
+    identified: bool = True  # whether its process is the one that the worker list names
+    preference: tuple[bool, int] = (False, 0)  # order among preferred workers: own zone first, then tie hash
 
     def __post_init__(self) -> None:
-        self.turns = RampTokens(self.order / 2**64)
+        self.ramp_tokens = RampTokens(self.tie_hash / 2**64)
 
     @property
     def ready(self) -> bool:
         return self.entry.state is io.State.READY
 
-    def group(self, request_class: io.RequestClass) -> str:
-        """The group of workers that drops repeats of a keyed request, as the wire states it."""
+    def repeat_group(self, request_class: io.RequestClass) -> str:
+        """The group of workers that drops repeats of a keyed request: all, a zone or a cell."""
         if request_class.effect is not io.Effect.KEYED or request_class.scope == "all":
             return "all"
-        if not self.identified:  # another may have taken its address, from another group
+        if not self.identified:  # another worker, of another group, may have taken over its address
             return f"? {self.entry.worker}"
         return str(self.entry.cell) if request_class.scope == "cell" else self.entry.zone
 
-    def believed(self, name: str, now: int) -> int:
-        """Copies believed here; a copy at work does not fade."""
-        belief = self.copies.get(name)
-        return belief.count if belief and (now < belief.fades or name in self.busy) else 0
-
-    def memory_used(self, now: int) -> float:
-        """Memory of the copies that we believe here or have ordered."""
-        coming = sum(belief.memory for belief in self.coming.values())
-        return coming + sum(b.memory * self.believed(name, now) for name, b in self.copies.items())
+    def estimated_copies(self, name: str, now: int) -> int:
+        """Estimated copies of a function; an estimate does not expire while a call is in flight on it."""
+        estimate = self.copies.get(name)
+        return (
+            estimate.count
+            if estimate and (now < estimate.expires_at or name in self.inflight_by_function)
+            else 0
+        )
+
+    def memory_used_mb(self, now: int) -> float:
+        """Memory of the copies that are estimated to be here or have been ordered."""
+        pending_mb = sum(estimate.memory_mb for estimate in self.pending_loads.values())
+        return pending_mb + sum(
+            b.memory_mb * self.estimated_copies(name, now) for name, b in self.copies.items()
+        )
 
     def begin(self, name: str, now: int) -> None:
-        """Count a call of a function in flight."""
+        """Count a call of a function as in flight."""
         if not self.inflight:
-            self.quiet_since = now
+            self.silent_since = now
         self.inflight += 1
-        self.busy[name] = self.busy.get(name, 0) + 1
-        self.sends.add(now)
+        self.inflight_by_function[name] = self.inflight_by_function.get(name, 0) + 1
+        self.recent_sends.add(now)
 
     def finish(self, name: str) -> None:
-        """Count it out again."""
+        """Count a call of a function as no longer in flight."""
         self.inflight -= 1
-        self.busy[name] -= 1
-        if not self.busy[name]:
-            del self.busy[name]
+        self.inflight_by_function[name] -= 1
+        if not self.inflight_by_function[name]:
+            del self.inflight_by_function[name]
 
-    def tidy(self, now: int, since: int) -> None:
-        """Forget what no longer holds; of a large fleet most workers hold nothing of ours."""
-        if not (self.sends.times or self.copies or self.refused or self.shut):
+    def prune(self, now: int, since: int) -> None:
+        """Drop expired entries.  Returns early for the many workers of a large fleet that hold none."""
+        if not (self.recent_sends.times or self.copies or self.rejections or self.load_backoff):
             return
-        self.sends.count(since)
-        self.copies = {n: b for n, b in self.copies.items() if self.believed(n, now)}
-        self.refused = {kind: until for kind, until in self.refused.items() if until > now}
-        self.shut = {name: until for name, until in self.shut.items() if until > now}
+        self.recent_sends.count(since)
+        self.copies = {n: b for n, b in self.copies.items() if self.estimated_copies(n, now)}
+        self.rejections = {key: until for key, until in self.rejections.items() if until > now}
+        self.load_backoff = {name: until for name, until in self.load_backoff.items() if until > now}
 
 
-QueueKey = tuple[str, str]  # function, group that a repeat is bound to
+QueueKey = tuple[str, str]  # function, and the group that a repeat is bound to ("" if to none)
 
 
 class RouterState:
-    """A router's tables and timers, and the moves between them that leave nothing to decide."""
+    """A router's tables and timers, and the updates of them that need no decision."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
-        self.leases: Leases | None = None  # None: the list is always taken for current
-        self.list_serves = True  # its word on every worker holds in this batch
-        self.settings, self.seed = settings, seed  # no choice is left to chance so far: the seed is unused
+        self.leases: Leases | None = None  # None: the worker list is always taken as current
+        self.list_is_current = True  # in this batch
+        self.settings, self.seed = settings, seed  # the seed is unused: no decision is random so far
         self.request_classes = {request_class.name: request_class for request_class in settings.classes}
         self.workers: dict[str, Worker] = {}
-        self.ready: list[Worker] = []  # of the list of workers that is numbered `listing`
-        self.listing = 0
-        self.warm = 0  # ready workers that don't start, at the last sweep
+        self.ready: list[Worker] = []  # the ready workers of the list with version `list_version`
+        self.list_version = 0
+        self.warm_count = 0  # ready workers that are not warming up, at the last sweep
         self.functions: dict[str, Function] = {}
         self.calls: dict[str, Call] = {}
-        self.lines: dict[QueueKey, deque[Call]] = {}
-        self.taken, self.orders = SlidingWindow(), SlidingWindow()
-        self.news: set[str] = set()  # functions to look at in this batch
-        self.look_at = 0  # when all of them are looked at again
-        self.woke = 0  # the end of the last gap in our own clock
-        self.median = 1.0  # pace of the ready workers
-        self.kind_pace: dict[str, float] = {}
-        self.usual_held = 0.0  # calls that workers say they hold
-        self.loading = 0  # copies ordered that do not stand yet
-        self.now = self.born = 0
+        self.queues: dict[QueueKey, deque[Call]] = {}
+        self.recent_arrivals, self.recent_orders = SlidingWindow(), SlidingWindow()
+        self.dirty_functions: set[str] = set()  # functions whose queues are checked in this batch
+        self.recheck_at = 0  # when all queues are checked again
+        self.resumed_at = 0  # end of the last gap in our own clock
+        self.median_relative_latency = 1.0  # of the ready workers
+        self.kind_relative_latency: dict[str, float] = {}  # running mean for each kind of worker
+        self.expected_held = 0.0  # running mean of the calls that workers report to hold
+        self.pending_load_count = 0  # copies ordered and not yet loaded, of all functions
+        self.now = self.started_at = 0
         self.seq = 0  # numbers calls and timers in order
         self.actions: list[io.Action] = []
         self._timers: dict[int, tuple[Callable[..., None], tuple, int]] = {}
 
-    def _after(self, delay: float, act: Callable[..., None], *args: object) -> None:
-        """Call `act` after so many microseconds."""
+    def _schedule(self, delay: float, act: Callable[..., None], *args: object) -> None:
+        """Call `act` after a delay in microseconds."""
         self.seq += 1
         self._timers[self.seq] = (act, args, self.now + max(0, int(delay)))
         self.actions.append(io.SetTimer(max(0, int(delay)), self.seq))
 
-    def due(self, event: io.Event) -> int:
-        """When an event was due, if it is a timer of ours; else now."""
+    def due_at(self, event: io.Event) -> int:
+        """When an event was due, if it is a timer of this router; else now."""
         ours = isinstance(event, io.Timer) and event.token in self._timers
         return self._timers[event.token][2] if ours else self.now
 
-    def _note(self, event: io.Event) -> None:
-        """Events that only change the books; probes and messages of peers are not made use of."""
+    def _on_other(self, event: io.Event) -> None:
+        """Handle timers and events that only update state; probes and messages of peers are not used."""
         if isinstance(event, io.Timer) and event.token in self._timers:
             act, args, _ = self._timers.pop(event.token)
             act(*args)
@@ -310,20 +322,20 @@
             self.calls[event.id].streaming = True
 
     def _end(self, call: Call) -> None:
-        """A call has its final answer; it stays in the books while attempts are out."""
-        call.ended, call.held = True, False
-        if not call.outstanding():
+        """Mark a call as answered; it stays in the table while attempts are in flight."""
+        call.ended, call.queued = True, False
+        if not call.has_attempts_in_flight():
             self.calls.pop(call.request.id, None)
-            call.attempts.clear()  # they refer to the call: no cycle is left to the garbage collector
+            call.attempts.clear()  # breaks the reference cycle, so that no garbage collection is needed
 
-    def _arrived(self, worker: Worker, function: Function) -> None:
-        """An ordered copy is no longer waited for."""
-        if worker.coming.pop(function.name, None) is not None:
-            function.coming -= 1
-            self.loading -= 1
+    def _clear_pending_load(self, worker: Worker, function: Function) -> None:
+        """Stop waiting for an ordered copy."""
+        if worker.pending_loads.pop(function.name, None) is not None:
+            function.pending_loads -= 1
+            self.pending_load_count -= 1
 
-    def _forget(self, worker: Worker) -> None:
-        """Drop every belief of a worker."""
+    def _forget_copies(self, worker: Worker) -> None:
+        """Drop all copy estimates and pending loads of a worker."""
         worker.copies.clear()
-        for name in list(worker.coming):
-            self._arrived(worker, self.functions[name])
+        for name in list(worker.pending_loads):
+            self._clear_pending_load(worker, self.functions[name])
--- a/swiftwell/scale/hollow_router.py
+++ b/swiftwell/scale/hollow_router.py
@@ -167,7 +167,7 @@
             memory_mb=round(memory / 1e6, 1),
             workers_used=len(self._used),
             functions_seen=len(self.router.functions),
-            order_entries=sum(len(function.order) for function in self.router.functions.values()),
+            order_entries=sum(len(function.ranked_workers) for function in self.router.functions.values()),
         )
 
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -148,8 +148,8 @@
 class SendsTwice(Router):
     """Sends an unsafe call again whatever happened to it."""
 
-    def _again(self, call, status):
-        self._hold(call)
+    def _retry_or_finish(self, call, status):
+        self._enqueue(call)
 
     def _may_send(self, call, worker):
         return True
@@ -161,18 +161,18 @@
 class IgnoresDrains(Router):
     """Takes every worker for ready."""
 
-    def _members(self, event):
+    def _on_members(self, event):
         ready = tuple(replace(entry, state=io.State.READY) for entry in event.entries)
-        super()._members(event._replace(entries=ready))
+        super()._on_members(event._replace(entries=ready))
 
 
 class OrdersFreely(Router):
     """Orders as if there were no ration."""
 
-    def _order(self, worker, function):
+    def _order_copy(self, worker, function):
         self.settings = replace(self.settings, load_window_us=0)
-        self.orders_left.earn(1)
-        return super()._order(worker, function)
+        self.order_tokens.refill(1)
+        return super()._order_copy(worker, function)
 
 
 def planted(make, tmp_path, fault, limits, **more):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,7 +10,7 @@
 
 from swiftwell import interface as io
 from swiftwell import router_state as rs
-from swiftwell.choice import FIRST_CAP, LOOK_US, SPLIT
+from swiftwell.choice import HASH_MULTIPLIER, INITIAL_CONCURRENCY, RECHECK_US
 from swiftwell.interface import Status
 from swiftwell.router_state import Worker, stable_hash
 
@@ -112,10 +112,10 @@
     (first,) = only(bench.call(), io.Send)
     bench.answer(first)
     worker = bench.router.workers[first.worker]
-    assert worker.believed("f", bench.now) == 1
-    assert worker.believed("f", bench.now + PLAIN.idle_life_us) == 0
+    assert worker.estimated_copies("f", bench.now) == 1
+    assert worker.estimated_copies("f", bench.now + PLAIN.idle_life_us) == 0
     bench.do(io.Members(io.ListKind.DELTA, (entry(first.worker, started=bench.now),)))
-    assert worker.believed("f", bench.now) == 0
+    assert worker.estimated_copies("f", bench.now) == 0
 
 
 # --- rule 1: every request answered ---------------------------------------------------------------
@@ -266,12 +266,12 @@
     for _ in range(20):
         for send in only(bench.call() + bench.wait(1_100_000), io.Send):
             bench.answer(send, us=1_200_000)
-    assert worker.cap == 1.0
+    assert worker.concurrency_limit == 1.0
     for _ in range(60):
         sends = only(bench.call() + bench.wait(100_000), io.Send)
         while sends:  # an answer may make room for a call that was held
             sends += only(bench.answer(sends.pop(), us=50_000), io.Send)
-    assert worker.cap > 1.0
+    assert worker.concurrency_limit > 1.0
 
 
 def test_a_busy_router_alone_does_not_run_out_of_room() -> None:
@@ -292,9 +292,11 @@
         bench.wait(100_000)
     bench.wait(40_000_000)
     router = bench.router
-    assert (router.calls, router.functions, router.lines) == ({}, {}, {})
+    assert (router.calls, router.functions, router.queues) == ({}, {}, {})
     assert len(router._timers) <= 2
-    assert all(len(w.copies) + len(w.shut) + len(w.sends.times) == 0 for w in router.workers.values())
+    assert all(
+        len(w.copies) + len(w.load_backoff) + len(w.recent_sends.times) == 0 for w in router.workers.values()
+    )
 
 
 # --- many routers, each seeing little ---------------------------------------------------------------
@@ -362,14 +364,14 @@
     for position in range(200):
         told = replace(PLAIN, position=position, routers=200, fall_us=3_000_000, fall_multiple=2.0)
         bench = Bench(told, (cold, *(entry(f"w{number}") for number in range(9))))
-        bench.router.workers["cold"].cap = 0.0  # looked at, and not used
+        bench.router.workers["cold"].concurrency_limit = 0.0  # looked at, and not used
         for _ in range(20):  # 400 calls a second in all
             for send in only(bench.call(f"f{bench.count}"), io.Send):
                 bench.answer(send, us=100_000)
             bench.wait(500_000)
         for worker in bench.router.workers.values():
-            worker.rest_until = bench.now + 9_000_000
-        bench.router.workers["cold"].rest_until, bench.router.workers["cold"].cap = 0, 4.0
+            worker.backoff_until = bench.now + 9_000_000
+        bench.router.workers["cold"].backoff_until, bench.router.workers["cold"].concurrency_limit = 0, 4.0
         sent += only(bench.call("hot"), io.Send)
     present = 0.2 + 0.8 * 10 / 16  # ten seconds of sixteen have passed
     assert 10 < len(sent) <= 2 * present * 40 * 3  # multiple x capacity of one of ten x span
@@ -377,7 +379,7 @@
 
 def first_home(bench: Bench, function: str) -> Worker:
     key = stable_hash(function)
-    return min(bench.router.ready, key=lambda worker: (worker.key ^ key) * SPLIT % 2**64)
+    return min(bench.router.ready, key=lambda worker: (worker.key ^ key) * HASH_MULTIPLIER % 2**64)
 
 
 def test_routers_that_just_started_leave_a_starting_worker_its_budget() -> None:
@@ -387,15 +389,15 @@
     for position in range(200):
         bench = Bench(replace(told, position=position), (entry("cold", started=1_000_000), *names))
         cold, others = bench.router.workers["cold"], bench.router.ready[1:]
-        cold.cap = 0.0  # looked at, and not used
+        cold.concurrency_limit = 0.0  # looked at, and not used
         hot = next(name for name in map(str, range(999)) if first_home(bench, name) is cold)
         for _ in range(8):
             for send in only(bench.call(hot), io.Send):
                 bench.answer(send, us=50_000)
             bench.wait(50_000)
         for worker in others:
-            worker.rest_until = bench.now + 9_000_000
-        cold.cap = 4.0
+            worker.backoff_until = bench.now + 9_000_000
+        cold.concurrency_limit = 4.0
         sent += len(only(bench.call(hot), io.Send))
     even = 200 * 8 / 39  # calls of each of the others until now
     assert 0 < sent <= even * 2 * 0.25  # times the told multiple and the capacity that is there
@@ -458,13 +460,16 @@
 def test_a_gap_in_our_own_clock_tells_nothing_of_the_workers() -> None:
     bench = Bench(workers=("a",))
     (first,) = only(bench.call(), io.Send)
-    pace, cap = bench.router.workers["a"].pace, bench.router.workers["a"].cap
+    pace, cap = bench.router.workers["a"].relative_latency, bench.router.workers["a"].concurrency_limit
     bench.now += 2_000_000
     late = tuple(io.Timer(token) for at, token in sorted(bench.due) if at <= bench.now)
     bench.due = [d for d in bench.due if d[0] > bench.now]
     ok = io.Outcome(first.id, 0, "a", Status.OK, 2_000_000, True, 0, ())
     bench.do(*late, ok)
-    assert (bench.router.workers["a"].pace, bench.router.workers["a"].cap) == (pace, cap)
+    assert (bench.router.workers["a"].relative_latency, bench.router.workers["a"].concurrency_limit) == (
+        pace,
+        cap,
+    )
     assert only(bench.call("g"), io.Send)
 
 
@@ -474,12 +479,12 @@
     (first,) = only(bench.call(), io.Send)
     bench.answer(first)  # a copy stands
     worker = bench.router.workers["a"]
-    pace, cap = worker.pace, worker.cap
+    pace, cap = worker.relative_latency, worker.concurrency_limit
     (send,) = only(bench.call(), io.Send)
     bench.wait(1_500_000)  # late: for all that is known the worker is slow
-    assert worker.pace > pace and worker.cap < cap
+    assert worker.relative_latency > pace and worker.concurrency_limit < cap
     bench.do(io.Outcome(send.id, 0, "a", Status.OK, 1_500_000, True, note, ()))
-    assert worker.pace <= pace and worker.cap >= cap
+    assert worker.relative_latency <= pace and worker.concurrency_limit >= cap
 
 
 @pytest.mark.parametrize("warm", [True, False])
@@ -493,7 +498,7 @@
         (send,) = only(bench.call(), io.Send)
         assert send.worker == failed
     assert not only(bench.do(io.Outcome(send.id, 0, failed, Status.ERROR, 50_000, False, 4, ())), io.Send)
-    (again,) = only(bench.wait(2 * LOOK_US), io.Send)  # held for a look, then it has a seat more
+    (again,) = only(bench.wait(2 * RECHECK_US), io.Send)  # held for a look, then it has a seat more
     assert again.worker != failed
     bench.answer(again)
     bench.wait(int(bench.router.functions["f"].load_us) + TICK)
@@ -551,14 +556,16 @@
     (first,) = only(bench.call("f"), io.Send)
     bench.answer(first)  # a copy stands: the next is no cold one, of which nothing is learnt anyway
     (lost,) = only(bench.call("f"), io.Send)
-    worker, usual, cancelled = bench.router.workers["a"], bench.router.usual["safe"], []
+    worker, usual, cancelled = bench.router.workers["a"], bench.router.expected_latency["safe"], []
     for _ in range(30):  # others come and are answered meanwhile, none of them slow
         sent = only(bench.call("f"), io.Send)
         cancelled += only(bench.wait(50_000), io.Cancel)
         for send in sent:
             bench.answer(send)
-        assert worker.cap >= FIRST_CAP and bench.router.usual["safe"] <= usual
-        usual = bench.router.usual["safe"]
+        assert (
+            worker.concurrency_limit >= INITIAL_CONCURRENCY and bench.router.expected_latency["safe"] <= usual
+        )
+        usual = bench.router.expected_latency["safe"]
         if cancelled:
             break
     assert [(act.id, act.attempt) for act in cancelled] == [(lost.id, 0)]
@@ -611,7 +618,7 @@
 def test_attempts_after_full_spend_the_retry_budget_and_a_miss_with_orders_does_not(status: Status) -> None:
     """A fleet that turns all away: each pass took work and began a load, five attempts a call."""
     bench = Bench(ORDERS, tuple(f"w{number}" for number in range(30)))
-    bench.router.retries.left = 0.0
+    bench.router.retry_tokens.tokens = 0.0
     bench.call()
     (load,) = only(bench.all, io.Load)
     (send,) = only(bench.do(io.Loaded(load.worker, "f", Status.OK, 1_000, 1)), io.Send)
@@ -643,8 +650,8 @@
     bench = Bench(ORDERS, tuple(f"w{number}" for number in range(100)))
     for number in range(200):
         bench.call(f"f{number}")
-    looks, fit = [], bench.router._fit
-    bench.router._fit = lambda call, worker: (looks.append(worker), fit(call, worker))[1]
+    looks, fit = [], bench.router._may_have_room
+    bench.router._may_have_room = lambda call, worker: (looks.append(worker), fit(call, worker))[1]
     bench.call("one more")
     assert 0 < len(looks) < 40
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -232,7 +232,7 @@
             router = engine.router
             workers = router.workers.values()
             assert all(worker.warm_at <= having.now for worker in workers), "taken for starting"
-            assert all(worker.rest_until <= having.now for worker in workers), "taken for bad"
-            paces = sorted(map(router._pace, workers))
+            assert all(worker.backoff_until <= having.now for worker in workers), "taken for bad"
+            paces = sorted(map(router._relative_latency, workers))
             # 3.85 on seed 6 where a load counted as slowness: such a worker got 7 calls in 100 of its part.
             assert paces[-1] <= 1.5 * paces[len(paces) // 2], "taken for slow"
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -149,7 +149,7 @@
 
 def test_a_refusal_of_what_may_have_run_is_withheld():
     class Careless(Router):
-        def _finish(self, call):
+        def _give_final_answer(self, call):
             if not call.ended:
                 self.actions.append(io.Refuse(call.request.id, 0))
                 self._end(call)
@@ -357,13 +357,13 @@
     play.now += 2_000_000  # the process stood still
     play.end(start)
     assert any(isinstance(batch[0], io.Outcome) and len(batch) > 1 for batch in seen)
-    assert play.engine.router.woke == play.now
+    assert play.engine.router.resumed_at == play.now
 
 
 def test_a_held_call_whose_client_left_is_not_sent_in_the_turn_that_made_room():
     play = Play(replace(SETTINGS, second_copies=False), workers=("a",))
     first = only(play.call(), ports.Start)[0]
-    play.engine.router.workers["a"].cap = 1.0  # no room beside it
+    play.engine.router.workers["a"].concurrency_limit = 1.0  # no room beside it
     assert not only(play.call(source="m:2"), ports.Start) and play.engine.open == 2
     done = ports.AttemptEnd(first.id, first.number, Status.OK, Ran.YES, b"42", 50_000)
     out = play.do(done, ports.Gone("m:2"))  # room, which the module is told of first, and the client's end
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -77,8 +77,8 @@
     new = Router(LOADS, 1)
     snapshot.put(new, snapshot.take(old))
     for function in (*old.functions.values(), *new.functions.values()):
-        function.listing = -1  # homes are made again in both
-        function.homes = 0
+        function.list_version = -1  # preferred workers are made again in both
+        function.preferred_count = 0
     now = play.now
     for number in range(60):
         now += 20_000
@@ -99,7 +99,7 @@
     read = msgspec.convert(plain, snapshot.RouterBooks)
     router = Router(LOADS, 1)
     snapshot.put(router, read)
-    assert all(worker.pace == 1.0 and worker.failures == 0 for worker in router.workers.values())
+    assert all(worker.relative_latency == 1.0 and worker.failures == 0 for worker in router.workers.values())
     told = msgspec.msgpack.encode({"version": 9, "name": "x", "later": [1], "router": plain})
     assert state.decode(told).name == "x"
     for raw in (b"", b"\xc1", msgspec.msgpack.encode({"calls": 5})):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -126,9 +126,9 @@
     class Stubborn(Router):
         """Goes on sending to workers whatever the list says of them."""
 
-        def _members(self, event):
+        def _on_members(self, event):
             kept = tuple(replace(one, state=io.State.READY) for one in event.entries)
-            super()._members(event._replace(entries=kept))
+            super()._on_members(event._replace(entries=kept))
 
     _, told = emulate("deploy-day", 1, Stubborn)
     assert told["rules"]["drains"] > 0 and not told["rules_kept"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 from swiftwell import interface as io
 from swiftwell import router_state as rs
 from swiftwell.choice import Router
-from swiftwell.placement import CANDIDATES, SPLIT, Ring
+from swiftwell.placement import HASH_MULTIPLIER, MIN_RANKED, Ring
 from swiftwell.scale import hollow_router as hollow
 
 
@@ -29,12 +29,12 @@
     return [rs.stable_hash(f"fn/{number}") for number in range(count)]
 
 
-@pytest.mark.parametrize("size", [1, 2, 12, 120, CANDIDATES])
+@pytest.mark.parametrize("size", [1, 2, 12, 120, MIN_RANKED])
 def test_a_fleet_within_the_candidates_has_the_order_of_all_its_workers(size):
     workers = [worker(f"w{number}") for number in range(size)]
     ring = ring_of(workers)
     for key in keys(50):
-        whole = sorted(workers, key=lambda one: (one.key ^ key) * SPLIT % 2**64)
+        whole = sorted(workers, key=lambda one: (one.key ^ key) * HASH_MULTIPLIER % 2**64)
         assert ring.preferred(key, 9) == whole[:9]
 
 
@@ -116,7 +116,7 @@
     router.handle(now, [io.Members(io.ListKind.FULL, tuple(entries))])
     for _ in range(2_000):
         call()
-    assert router.functions["hot"].homes > CANDIDATES
+    assert router.functions["hot"].preferred_count > MIN_RANKED
     made.clear()
     for gone in entries[:100]:  # over half a second
         left = replace(gone, state=io.State.GONE)
@@ -126,5 +126,5 @@
     now += 1_000_000
     call()
     assert not {one.worker for one in entries[:100]} & {
-        one.entry.worker for one in router.functions["hot"].order
+        one.entry.worker for one in router.functions["hot"].ranked_workers
     }
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -365,7 +365,7 @@
     bench.answer(send)
     bench.do(io.Restarted("a"))
     worker = bench.router.workers["a"]
-    assert worker.warm_at == bench.now + PLAIN.cold_us and not worker.believed("f", bench.now)
+    assert worker.warm_at == bench.now + PLAIN.cold_us and not worker.estimated_copies("f", bench.now)
 
 
 @pytest.mark.parametrize("status", [Status.RESET, Status.CONNECT_FAILED])
