--- a/swiftwell/discovery/__init__.py
+++ b/swiftwell/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the list of workers."""
+"""Worker discovery: sources of the worker list, its age, and its copy on disk."""
--- a/swiftwell/discovery/journal.py
+++ b/swiftwell/discovery/journal.py
@@ -18,12 +18,12 @@
 
 from tornado.iostream import StreamClosedError
 
-from swiftwell.discovery.staleness import OVERDUE_US, ListStaleness
+from swiftwell.discovery.staleness import SOURCE_TIMEOUT_US, ListStaleness
 from swiftwell.interface import State
 from swiftwell.sockets import TcpStream, cause_of, is_local
 
 MOST_RECORDS = 20_000  # records of a frame: a list of so many workers is far beyond a tier
-SILENT_S = OVERDUE_US / 1e6  # s without a frame, one a second is promised: the service has stopped
+SILENT_S = SOURCE_TIMEOUT_US / 1e6  # s without a frame, one a second is promised: the service has stopped
 SETTLED_S = 0.5  # s that a connection must stand for its word that nothing is new: the first costs nothing
 LEAST_PROGRESS = 4_096  # bytes of a frame within that time that show that it comes: 150 workers of thousands
 LOOK_S = 0.1  # s between looks at it
@@ -279,15 +279,15 @@
             async with asyncio.timeout(CONNECT_S):
                 await stream.connect(self.at)
             stream.set_nodelay(True)
-            self._staleness.standing(self._seen_us())
+            self._staleness.connection_seen(self._seen_us())
             stream.write(self.feed.held.to_bytes(8, "big"))
             return await self._read(stream, self._frames())
         except (OSError, TimeoutError, StreamClosedError) as error:
             if not self._moved.is_set() and not is_local(cause_of(error)):
-                self._staleness.broke()
+                self._staleness.connection_broken()
             return f"{type(error).__name__}: {error}"
         except FrameError as error:
-            self._staleness.broke()
+            self._staleness.connection_broken()
             return str(error)
         finally:
             stream.close()
@@ -315,7 +315,7 @@
                     if spoken and now - asked >= SETTLED_S and events and events[-1] is None:
                         self._shown_current(frames.told)
                     spoken = spoken or bool(events)
-                self._staleness.standing(self._seen_us())
+                self._staleness.connection_seen(self._seen_us())
                 # "Nothing new" after an event that never came: a watch that only sounds alive.  Asked anew
                 # once for each such number, as the page does not say that an empty frame's number means it.
                 if frames.told > max(self.feed.held, self._missed):
@@ -343,7 +343,7 @@
         Its first frame on a connection shows nothing: a service that breaks off again and again says as much.
         """
         if self._trusted and last == self.feed.held:
-            self._staleness.current(self._seen_us())
+            self._staleness.confirm(self._seen_us())
 
 
 async def _some(stream: TcpStream) -> bytes:
--- a/swiftwell/discovery/staleness.py
+++ b/swiftwell/discovery/staleness.py
@@ -1,73 +1,77 @@
-"""How far the list of workers may be relied on while its source is out of reach.  No I/O; monotonic us.
+"""Tracks whether the worker list is current while its source may be unreachable.
 
-What a source would have told counts as told `BREAK_US` after it broke off and `STOP_US` after it stopped or
-was moved (the protocol page).  When it broke or stopped is not known here; it was not before the last moment
-at which the source showed that nothing was missing.
+No I/O; times are monotonic us.
+
+By the protocol, a router is held responsible for a list update that it missed `STALE_AFTER_BREAK_US` after
+its source broke the connection, and `STALE_AFTER_STOP_US` after the source stopped or moved: from then on the
+list is stale.  The router can't know when the source broke or stopped, only that it was not before the last
+moment at which the source showed that no update was missing.
 """
 
 from __future__ import annotations
 
-BREAK_US = 2_000_000  # us after a break at which all that went unheard counts as told
-STOP_US = 4_000_000  # us after a stop or a new address
-OVERDUE_US = 1_500_000  # us without a sign of a source that promises one a second: it is out of reach
+STALE_AFTER_BREAK_US = 2_000_000  # from a broken connection until missed updates count as delivered
+STALE_AFTER_STOP_US = 4_000_000  # the same after the source stopped or changed its address
+SOURCE_TIMEOUT_US = 1_500_000  # without a frame; the source promises one a second
 
 
 class ListStaleness:
-    """The state of one source of the list; at `started_us` this process began, with a list of its own."""
+    """State of one list source.  At `started_us` this process began, with the list of its configuration."""
 
     def __init__(self, started_us: int) -> None:
         self.started_us = started_us
-        self.current_us: int | None = None  # the source showed last that nothing is missing
-        self._standing_us = started_us  # a connection to it was last seen to stand
-        self._broken_us: int | None = None  # the first break since `current_us`, no later than it happened
-
-    def current(self, at_us: int) -> None:
-        """The source has shown that at this time nothing was missing."""
-        if self.current_us is None or at_us > self.current_us:
-            self.current_us = at_us
-            self._broken_us = None
-        self.standing(at_us)
-
-    def standing(self, at_us: int) -> None:
-        """A connection to the source was seen to stand."""
-        self._standing_us = max(self._standing_us, at_us)
-
-    def broke(self) -> None:
-        """A connection was ended by the source, or could not be made."""
-        if self._broken_us is None:
-            self._broken_us = self._standing_us
-
-    def why(self) -> str:
-        """How it has been since it was current, in a word for those on call."""
-        if self.current_us is None:
+        self.confirmed_us: int | None = None  # when the source last showed that no update was missing
+        self._connection_seen_us = started_us  # when a connection to it was last seen open
+        self._first_break_us: int | None = None  # lower bound of the first break since `confirmed_us`
+
+    def confirm(self, at_us: int) -> None:
+        """Records that the source showed that at this time no update was missing."""
+        if self.confirmed_us is None or at_us > self.confirmed_us:
+            self.confirmed_us = at_us
+            self._first_break_us = None
+        self.connection_seen(at_us)
+
+    def connection_seen(self, at_us: int) -> None:
+        """Records that a connection to the source was open at this time."""
+        self._connection_seen_us = max(self._connection_seen_us, at_us)
+
+    def connection_broken(self) -> None:
+        """Records that the source ended a connection, or that none could be made."""
+        if self._first_break_us is None:
+            self._first_break_us = self._connection_seen_us
+
+    def reason(self) -> str:
+        """What happened to the source since it was last confirmed, for the log."""
+        if self.confirmed_us is None:
             return "unconfirmed"
-        return "silent" if self._broken_us is None else "broken"
+        return "silent" if self._first_break_us is None else "broken"
 
-    def told_us(self) -> int:
-        """The earliest moment at which something that went unheard may count as told.
+    def stale_from_us(self) -> int:
+        """The earliest time from which a missed update may count as delivered.
 
-        A source that was away when this process began may have been so for long: then what happens counts as
-        told as it happens.
+        A source that was already unreachable when this process began may have been so for long, so a missed
+        update then counts as delivered at once.
         """
-        if self.current_us is None:
+        if self.confirmed_us is None:
             return self.started_us
-        told_us = self.current_us + STOP_US
-        if self._broken_us is not None:
-            told_us = min(told_us, self._broken_us + BREAK_US)
-        return told_us
+        stale_from_us = self.confirmed_us + STALE_AFTER_STOP_US
+        if self._first_break_us is not None:
+            stale_from_us = min(stale_from_us, self._first_break_us + STALE_AFTER_BREAK_US)
+        return stale_from_us
 
-    def stale(self, now_us: int) -> bool:
-        """Whether something that went unheard may count as told by now."""
-        return now_us >= self.told_us()
+    def is_stale(self, now_us: int) -> bool:
+        """Whether a missed update may count as delivered by now."""
+        return now_us >= self.stale_from_us()
 
-    def overdue(self, now_us: int) -> bool:
-        """Whether the source has been without a sign for longer than it promises."""
-        return now_us - (self.current_us or self.started_us) > OVERDUE_US
+    def is_overdue(self, now_us: int) -> bool:
+        """Whether the source has not confirmed the list for longer than its promised interval allows."""
+        return now_us - (self.confirmed_us or self.started_us) > SOURCE_TIMEOUT_US
 
-    def identity_us(self) -> int:
-        """The last moment at which a process at a worker's address was the one that the list names.
+    def identity_confirmed_us(self) -> int:
+        """Until when the process at each worker's address is taken for the one that the list names.
 
-        A router that starts while the source is away takes what it meets in its first `BREAK_US` for what its
-        list names: else it would serve next to nothing until every worker had warmed up.
+        A router that starts while the source is unreachable accepts the processes that it meets in its first
+        `STALE_AFTER_BREAK_US` as the listed ones; otherwise it would serve next to nothing until every worker
+        had warmed up.
         """
-        return max(self.current_us or 0, self.started_us + BREAK_US)
+        return max(self.confirmed_us or 0, self.started_us + STALE_AFTER_BREAK_US)
--- a/swiftwell/discovery/worker_leases.py
+++ b/swiftwell/discovery/worker_leases.py
@@ -1,9 +1,9 @@
-"""What is proven of each worker by its own answers: a lease of evidence that it serves, and that its process
-is the one that the list names.  No I/O; monotonic us.
+"""Leases on workers, renewed by the workers' own answers.  No I/O; times are monotonic us.
 
-While the list is current its word is enough.  Once something that went unheard may count as told, a send
-needs proof that the worker did not drain at most the grace ago: a call that it took or a question that it
-answered, each of which counts from when it was handed over.
+A lease proves that a worker was not draining at some time, and that its process is the one that the list
+names.  While the list is current it is enough by itself.  Once a missed list update may count as delivered, a
+send needs proof that the worker was not draining at most a grace period ago: a call that it accepted or a
+query that it answered, each counted from the time at which it was sent.
 """
 
 from __future__ import annotations
@@ -14,142 +14,148 @@
 from swiftwell.discovery.staleness import ListStaleness
 
 NEVER_US = -(1 << 62)
-DECISION_US = 100_000  # us of a lease left at a decision, for the way to the hand-over: a connection, a turn
-HANDOVER_US = 60_000  # us left at the hand-over: a process with a part of a core may be held before its write
-DECISION_PART = 4  # a decision leaves one part in so many of the grace at most: a short one leaves a lease
-HANDOVER_PART = 8  # likewise the hand-over
-RECONNECT_US = 100_000  # us without a connection within which no process ends, starts anew and listens again
+DECISION_MARGIN_US = (
+    100_000  # of a lease, left at a decision: for a connection and a loop turn before the write
+)
+WRITE_MARGIN_US = (
+    60_000  # left at the write: a process with a fraction of a core may be descheduled before it
+)
+DECISION_MARGIN_DIVISOR = (
+    4  # the margin is at most this fraction of the grace period, so that a short one works
+)
+WRITE_MARGIN_DIVISOR = 8  # the same for the write
+MIN_RESTART_US = 100_000  # the least time in which a process can end, start and listen again
 
 
 @dataclass(slots=True)
 class _Lease:
     """What is known of one worker."""
 
-    proven_us: int = NEVER_US  # it did not drain then
-    draining: bool = False  # it said so itself, and nothing since says otherwise
+    proven_us: int = NEVER_US  # when it was last known not to drain
+    draining: bool = False  # by its own answer, which nothing later contradicts
     connections: int = 0
-    same_since_us: int = NEVER_US  # connections stood without a gap since then: one process all the time
-    parted_us: int = NEVER_US  # the last one ended
+    same_process_since_us: int = NEVER_US  # connected without a gap since then, hence to one process
+    disconnected_us: int = NEVER_US  # when the last connection ended
 
 
 class WorkerLeases:
-    """Leases of all workers; `grace_us` None where no rule on drains is told, so that no proof is needed."""
+    """Leases of all workers; no proof is needed where `grace_us` is None, as the deployment has no drain rule."""
 
     def __init__(self, staleness: ListStaleness, grace_us: int | None) -> None:
         self.staleness, self._grace_us = staleness, grace_us
         self._leases: dict[str, _Lease] = {}
         self._events: list[io.Restarted | io.ListState] = []
-        self.stale = False  # as the events told it last
-        self._decision_us = min(DECISION_US, (grace_us or 0) // DECISION_PART)
-        self._handover_us = min(HANDOVER_US, (grace_us or 0) // HANDOVER_PART)
+        self.stale = False  # as last reported by `advance`
+        self._decision_margin_us = min(DECISION_MARGIN_US, (grace_us or 0) // DECISION_MARGIN_DIVISOR)
+        self._write_margin_us = min(WRITE_MARGIN_US, (grace_us or 0) // WRITE_MARGIN_DIVISOR)
 
     def __len__(self) -> int:
         return len(self._leases)
 
-    # What is asked.
+    # Queries.
 
     def list_serves(self, now_us: int) -> bool:
-        """Whether a send that is decided now keeps the rule by the list's word alone."""
+        """Whether the list alone allows a send that is decided now, to any worker that it names as ready."""
         if self._grace_us is None:
             return True
-        return now_us + self._decision_us <= self.staleness.told_us() + self._grace_us
+        return now_us + self._decision_margin_us <= self.staleness.stale_from_us() + self._grace_us
 
     def serves(self, worker: str, now_us: int) -> bool:
-        """Whether a send to a listed worker that is decided now keeps the rule on drains."""
-        return self._holds(worker, now_us + self._decision_us)
+        """Whether the drain rule allows a send to a listed worker that is decided now."""
+        return self._is_valid_until(worker, now_us + self._decision_margin_us)
 
-    def may_hand_over(self, worker: str, now_us: int) -> bool:
-        """The same for bytes that are handed to the kernel now."""
-        return self._holds(worker, now_us + self._handover_us)
+    def may_write(self, worker: str, now_us: int) -> bool:
+        """Whether the drain rule allows bytes for a listed worker to be passed to the kernel now."""
+        return self._is_valid_until(worker, now_us + self._write_margin_us)
 
-    def _holds(self, worker: str, until_us: int) -> bool:
+    def _is_valid_until(self, worker: str, end_us: int) -> bool:
         if self._grace_us is None:
             return True
         lease = self._leases.get(worker)
         if lease is not None and lease.draining:
             return False
-        proven_us = self.staleness.told_us()
+        proven_us = self.staleness.stale_from_us()
         if lease is not None:
             proven_us = max(proven_us, lease.proven_us)
-        return until_us <= proven_us + self._grace_us
+        return end_us <= proven_us + self._grace_us
 
     def counts(self, now_us: int) -> dict[str, int]:
-        """How many workers are proven to serve, drain by their own word, and are unproven."""
-        found = {"proven": 0, "draining": 0, "unproven": 0}
+        """Numbers of workers that are proven to serve, drain by their own answer, and are neither."""
+        result = {"proven": 0, "draining": 0, "unproven": 0}
         for name, lease in self._leases.items():
             state = "proven" if self.serves(name, now_us) else "unproven"
-            found["draining" if lease.draining else state] += 1
-        return found
+            result["draining" if lease.draining else state] += 1
+        return result
 
-    # What is learnt.
+    # Updates.
 
-    def took(self, worker: str, sent_us: int) -> None:
-        """It took a call, or answered a question, that was handed over at `sent_us`."""
+    def record_accepted(self, worker: str, sent_us: int) -> None:
+        """Records that the worker accepted a call, or answered a query, that was sent at `sent_us`."""
         lease = self._leases.get(worker)
         if lease is None:
             return
         lease.proven_us = max(lease.proven_us, sent_us)
-        if lease.draining:  # what drained has ended, and another process answers in its place
+        if lease.draining:  # the draining process has ended, and another one answers at its address
             lease.draining = False
-            self._restarted(worker, lease, sent_us)
+            self._record_restart(worker, lease, sent_us)
 
-    def turned_away(self, worker: str) -> None:
-        """It answered a question as a worker that drains."""
+    def record_draining(self, worker: str) -> None:
+        """Records that the worker answered a query as one that drains."""
         lease = self._leases.get(worker)
         if lease is not None:
             lease.draining, lease.proven_us = True, NEVER_US
 
     def connected(self, worker: str, at_us: int) -> None:
-        """A connection to it came up."""
+        """Records that a connection to the worker was opened."""
         lease = self._leases.get(worker)
         if lease is None:
             return
         lease.connections += 1
-        if lease.connections == 1 and at_us > lease.parted_us + RECONNECT_US:
-            lease.same_since_us = at_us
+        if lease.connections == 1 and at_us > lease.disconnected_us + MIN_RESTART_US:
+            lease.same_process_since_us = at_us
             if self.stale:
-                self._identify(worker, lease, at_us)
+                self._check_identity(worker, lease, at_us)
 
     def disconnected(self, worker: str, at_us: int) -> None:
-        """A connection to it ended; with the last one ends what is proven, as its process may have."""
+        """Records that a connection ended; without any, the process may have ended, so the lease ends."""
         lease = self._leases.get(worker)
         if lease is None or not lease.connections:
             return
         lease.connections -= 1
         if not lease.connections:
-            lease.parted_us, lease.proven_us = at_us, NEVER_US
+            lease.disconnected_us, lease.proven_us = at_us, NEVER_US
 
     def listed(self, worker: str) -> None:
-        """The list has news of it, which overrule what it said itself."""
+        """Records a list update for the worker, which overrules its own answers."""
         self._leases.setdefault(worker, _Lease()).draining = False
 
     def forget(self, worker: str) -> None:
-        """It has left the list."""
+        """Removes a worker that has left the list."""
         self._leases.pop(worker, None)
 
     def advance(self, now_us: int) -> list[io.Restarted | io.ListState]:
-        """Let time pass; what the decisions are to be told, in order."""
-        stale = self._grace_us is not None and self.staleness.stale(now_us)
+        """Moves time on and returns the events for the router since the last call, in order."""
+        stale = self._grace_us is not None and self.staleness.is_stale(now_us)
         if stale is not self.stale:
             self.stale = stale
             self._events.append(io.ListState(stale))
             for worker, lease in self._leases.items():
-                self._turn(worker, lease, now_us)
-        found, self._events = self._events, []
-        return found
+                self._staleness_changed(worker, lease, now_us)
+        events, self._events = self._events, []
+        return events
 
-    def _turn(self, worker: str, lease: _Lease, now_us: int) -> None:
-        """The list has become stale, or is current again and knows better than what workers said."""
+    def _staleness_changed(self, worker: str, lease: _Lease, now_us: int) -> None:
+        """A list that is current again overrules workers' answers; a stale one proves no identity."""
         if not self.stale:
             lease.draining = False
         elif lease.connections:
-            self._identify(worker, lease, now_us)
+            self._check_identity(worker, lease, now_us)
 
-    def _identify(self, worker: str, lease: _Lease, now_us: int) -> None:
-        """A process that was not met while the list was current may have started since, unheard."""
-        if lease.same_since_us > self.staleness.identity_us() + RECONNECT_US:
-            self._restarted(worker, lease, now_us)
+    def _check_identity(self, worker: str, lease: _Lease, now_us: int) -> None:
+        """Reports a restart unless the process was connected while the list was current."""
+        if lease.same_process_since_us > self.staleness.identity_confirmed_us() + MIN_RESTART_US:
+            self._record_restart(worker, lease, now_us)
 
-    def _restarted(self, worker: str, lease: _Lease, at_us: int) -> None:
-        lease.same_since_us = at_us
+    def _record_restart(self, worker: str, lease: _Lease, at_us: int) -> None:
+        lease.same_process_since_us = at_us
         self._events.append(io.Restarted(worker))
--- a/swiftwell/gateway/evidence.py
+++ b/swiftwell/gateway/evidence.py
@@ -31,10 +31,10 @@
         staleness = self._leases.staleness
         if not stale:
             self._log("info", "list-current")
-        elif staleness.current_us is None:  # as after every start, until the source has said that it is so
+        elif staleness.confirmed_us is None:  # as after every start, until the source has said that it is so
             self._log("info", "list-unconfirmed")
         else:
-            why, age_ms = staleness.why(), (now_us - staleness.current_us) // 1_000
+            why, age_ms = staleness.reason(), (now_us - staleness.confirmed_us) // 1_000
             self._log("warning", "list-stale", age_ms=age_ms, why=why)
 
     def connection(self, given: ports.WorkerConnected | ports.WorkerDisconnected, now_us: int) -> None:
@@ -48,15 +48,15 @@
     def call_ended(self, worker: str, end: ports.AttemptEnd) -> None:
         """A call that was served was taken, so that its worker did not drain when it came."""
         if end.status is Status.OK:
-            self._leases.took(worker, end.sent_us)
+            self._leases.record_accepted(worker, end.sent_us)
 
     def order_ended(self, worker: str, end: ports.OrderEnd, asked: bool, now_us: int) -> None:
         """A worker that drains turns orders and questions away; a question has no other reason to be."""
         if not end.answered:
             return
         if end.status is Status.OK:
-            self._leases.took(worker, end.sent_us)
+            self._leases.record_accepted(worker, end.sent_us)
             self.advance(now_us)
         elif asked and end.status is Status.FULL:
-            self._leases.turned_away(worker)
+            self._leases.record_draining(worker)
             self._log("info", "worker", worker=worker, state="draining", by="its answer")
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -67,8 +67,8 @@
             self.log,
             self.addresses.ready,
             self.wake,
-            lambda worker: leases.may_hand_over(worker, self.clock.now_us()),
-            lambda: self._staleness.overdue(self.clock.now_us()),
+            lambda worker: leases.may_write(worker, self.clock.now_us()),
+            lambda: self._staleness.is_overdue(self.clock.now_us()),
             self.enqueue,
         )
         contract = Contract.of(settings)
@@ -253,11 +253,11 @@
     def _list_figures(self) -> dict[str, object]:
         """How old the list is, and what is proven of workers."""
         now_us, staleness = self.clock.now_us(), self._staleness
-        current_us = staleness.current_us
+        confirmed_us = staleness.confirmed_us
         return {
-            "age_ms": None if current_us is None else (now_us - current_us) // 1_000,
-            "stale": staleness.stale(now_us),
-            "why": staleness.why(),
+            "age_ms": None if confirmed_us is None else (now_us - confirmed_us) // 1_000,
+            "stale": staleness.is_stale(now_us),
+            "why": staleness.reason(),
             **self._leases.counts(now_us),
         }
 
--- a/swiftwell/scale/outage_questions.py
+++ b/swiftwell/scale/outage_questions.py
@@ -16,7 +16,7 @@
 
 from swiftwell import interface as io
 from swiftwell.choice import Router
-from swiftwell.discovery.staleness import STOP_US, ListStaleness
+from swiftwell.discovery.staleness import STALE_AFTER_STOP_US, ListStaleness
 from swiftwell.discovery.worker_leases import WorkerLeases
 from swiftwell.scale import hollow_router as hollow
 from swiftwell.scale.cases import OutageCase
@@ -62,7 +62,7 @@
             hollow.settings(case.routers), may_load=True, order_timeout_us=10_000_000,
             drain_grace_us=GRACE_US,
         )  # fmt: skip
-        self._stale_us = START_US + int(BEFORE_S * 1e6) + STOP_US
+        self._stale_us = START_US + int(BEFORE_S * 1e6) + STALE_AFTER_STOP_US
         self.routers: list[Router] = []
         self.leases: list[WorkerLeases] = []
         for at in range(case.routers):
@@ -86,7 +86,7 @@
             for name in names:
                 leases.listed(name)
                 leases.connected(name, START_US)
-            leases.staleness.current(START_US + int(BEFORE_S * 1e6))
+            leases.staleness.confirm(START_US + int(BEFORE_S * 1e6))
             self._tell(START_US, at, io.Members(io.ListKind.FULL, entries))
         self._draining = set(self._chance.sample(names, int(DRAINING * len(names))))
         end = self._stale_us + int(AFTER_S * 1e6)
@@ -124,9 +124,9 @@
         events = leases.advance(now)
         if isinstance(event, _Answer):
             if event.proven_us is None:
-                leases.turned_away(event.event.worker)
+                leases.record_draining(event.event.worker)
             else:
-                leases.took(event.event.worker, event.proven_us)
+                leases.record_accepted(event.event.worker, event.proven_us)
             event = event.event
         counted = now >= self._stale_us
         self.calls += counted and isinstance(event, io.Request)
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -14,7 +14,7 @@
 from swiftwell import interface as io
 from swiftwell.discovery import journal, staleness
 from swiftwell.discovery.staleness import ListStaleness
-from swiftwell.discovery.worker_leases import RECONNECT_US, WorkerLeases
+from swiftwell.discovery.worker_leases import MIN_RESTART_US, WorkerLeases
 from swiftwell.interface import Status
 
 S = 1_000_000  # us
@@ -24,7 +24,7 @@
 def leases(current_us=10 * S, grace_us=GRACE, workers=("a", "b", "c")):
     """Leases of listed workers, under a list that was last current then."""
     age = ListStaleness(0)
-    age.current(current_us)
+    age.confirm(current_us)
     found = WorkerLeases(age, grace_us)
     for worker in workers:
         found.listed(worker)
@@ -34,7 +34,7 @@
 
 def last_send_us(found, worker, begin_us, end_us):
     """The last moment at which a hand-over to a worker is allowed."""
-    allowed = [at for at in range(begin_us, end_us, 1_000) if found.may_hand_over(worker, at)]
+    allowed = [at for at in range(begin_us, end_us, 1_000) if found.may_write(worker, at)]
     assert allowed == list(range(begin_us, allowed[-1] + 1, 1_000))  # and no gap before it
     return allowed[-1]
 
@@ -45,23 +45,23 @@
 
 def test_a_list_that_broke_holds_for_two_seconds_and_the_grace():
     found = leases()
-    found.staleness.standing(int(10.4 * S))
-    found.staleness.broke()
+    found.staleness.connection_seen(int(10.4 * S))
+    found.staleness.connection_broken()
     assert 12.75 * S < last_send_us(found, "a", 10 * S, 16 * S) <= 12.9 * S
 
 
 def test_a_list_that_breaks_again_and_again_counts_from_the_first_time():
     found = leases()
     for at_us in (int(10.4 * S), int(11.1 * S), int(11.8 * S)):
-        found.staleness.standing(at_us)
-        found.staleness.broke()
+        found.staleness.connection_seen(at_us)
+        found.staleness.connection_broken()
     assert last_send_us(found, "a", 10 * S, 16 * S) <= 12.9 * S
 
 
 def test_a_break_after_a_silence_counts_from_when_it_was_last_seen_to_stand():
     found = leases()
-    found.staleness.standing(int(11.6 * S))
-    found.staleness.broke()
+    found.staleness.connection_seen(int(11.6 * S))
+    found.staleness.connection_broken()
     assert 13.95 * S < last_send_us(found, "a", 10 * S, 16 * S) <= 14.1 * S
 
 
@@ -73,41 +73,41 @@
 
 def test_a_call_that_was_taken_proves_the_moment_at_which_it_was_handed_over():
     found = leases()
-    found.took("a", 20 * S)
-    found.took("a", 19 * S)  # an older one that is answered later proves no less
+    found.record_accepted("a", 20 * S)
+    found.record_accepted("a", 19 * S)  # an older one that is answered later proves no less
     assert 20.35 * S < last_send_us(found, "a", 20 * S, 22 * S) <= 20.5 * S
-    assert not found.may_hand_over("b", 20 * S)
+    assert not found.may_write("b", 20 * S)
 
 
 def test_a_worker_that_says_that_it_drains_gets_nothing_until_it_answers_anew_as_one_that_starts():
     found = leases()
-    found.took("a", 20 * S)
-    found.turned_away("a")
-    assert not found.may_hand_over("a", 20 * S)
+    found.record_accepted("a", 20 * S)
+    found.record_draining("a")
+    assert not found.may_write("a", 20 * S)
     found.advance(20 * S)
-    found.took("a", 25 * S)
-    assert found.may_hand_over("a", 25 * S)
+    found.record_accepted("a", 25 * S)
+    assert found.may_write("a", 25 * S)
     assert found.advance(25 * S) == [io.Restarted("a")]
 
 
 def test_the_list_knows_better_once_it_is_current():
     found = leases()
     assert found.advance(20 * S) == [io.ListState(True)]
-    found.turned_away("a")
-    found.staleness.current(21 * S)
+    found.record_draining("a")
+    found.staleness.confirm(21 * S)
     assert found.advance(21 * S) == [io.ListState(False)]
-    assert found.may_hand_over("a", 21 * S)
+    assert found.may_write("a", 21 * S)
 
 
 def test_a_lease_ends_with_the_last_connection():
     found = leases()
     for at_us in (9 * S, 9 * S):
         found.connected("a", at_us)
-    found.took("a", 20 * S)
+    found.record_accepted("a", 20 * S)
     found.disconnected("a", 20 * S)
-    assert found.may_hand_over("a", 20 * S)  # one connection broke, its process lives
+    assert found.may_write("a", 20 * S)  # one connection broke, its process lives
     found.disconnected("a", 20 * S)
-    assert not found.may_hand_over("a", 20 * S)
+    assert not found.may_write("a", 20 * S)
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
             found.disconnected("a", int(parted_s * S))
     told += found.advance(20 * S)
     if connected is None or connected[1] is not None:
-        found.connected("a", 20 * S + RECONNECT_US + 1_000)
+        found.connected("a", 20 * S + MIN_RESTART_US + 1_000)
         told += found.advance(21 * S)
     assert (io.Restarted("a") in told) is restarted
 
@@ -141,19 +141,19 @@
     found.forget("a")
     found.disconnected("a", 11 * S)
     found.connected("a", 12 * S)
-    found.took("a", 12 * S)
+    found.record_accepted("a", 12 * S)
     assert len(found) == 2
 
 
 def test_without_a_told_grace_the_list_is_always_enough():
     found = leases(grace_us=None)
-    assert found.may_hand_over("a", 1_000 * S) and found.advance(1_000 * S) == []
+    assert found.may_write("a", 1_000 * S) and found.advance(1_000 * S) == []
 
 
 def test_a_short_grace_leaves_a_lease():
     found = leases(grace_us=20_000)
-    found.took("a", 20 * S)
-    assert found.serves("a", 20 * S + 14_000) and not found.may_hand_over("a", 20 * S + 18_000)
+    found.record_accepted("a", 20 * S)
+    assert found.serves("a", 20 * S + 14_000) and not found.may_write("a", 20 * S + 18_000)
 
 
 # The service as it is followed: what shows that nothing is missing, by real times.
@@ -174,7 +174,7 @@
             lambda: int((time.monotonic() - began) * S),
         )
         client.feed.held = 1
-        age.current(0)
+        age.confirm(0)
         task = asyncio.ensure_future(client.run())
         await asyncio.sleep(until_s)
         task.cancel()
@@ -203,7 +203,7 @@
                 writer.write(data)
 
         age = await follow(serve, 1.0)
-        assert (age.current_us > S // 2) is current
+        assert (age.confirmed_us > S // 2) is current
 
     run(main())
 
@@ -224,7 +224,7 @@
 
 
 def test_the_times_of_the_protocol_page():
-    assert (staleness.BREAK_US, staleness.STOP_US) == (2 * S, 4 * S)
+    assert (staleness.STALE_AFTER_BREAK_US, staleness.STALE_AFTER_STOP_US) == (2 * S, 4 * S)
 
 
 def test_a_refused_connection_is_a_break_and_one_that_was_moved_is_none():
@@ -233,13 +233,13 @@
             if len(service.asked) == 1:
                 writer.close()
 
-        assert (await follow(serve, 0.4)).why() == "broken"
+        assert (await follow(serve, 0.4)).reason() == "broken"
 
         async def stands(service, number, writer):
             await asyncio.sleep(5)
 
         age = ListStaleness(0)
-        age.current(0)
+        age.confirm(0)
         async with Journal(stands) as old, Journal(stands) as new:
             at = (HOST, old.port)
             client = journal.Client(at, frames, print, lambda *a, **f: None, random.Random(1), age)
@@ -249,7 +249,7 @@
                 client.move((HOST, new.port))
                 await asyncio.sleep(0.01)
             await until(lambda: new.asked)
-            assert age.why() == "silent" and age.told_us() == staleness.STOP_US
+            assert age.reason() == "silent" and age.stale_from_us() == staleness.STALE_AFTER_STOP_US
             task.cancel()
 
     run(main())
@@ -273,9 +273,9 @@
             await until(lambda: service.asked)
             client.distrust()
             await asyncio.sleep(1.0)
-            assert age.current_us is None
+            assert age.confirmed_us is None
             client.move(at)
-            await until(lambda: age.current_us is not None)
+            await until(lambda: age.confirmed_us is not None)
             task.cancel()
 
     run(main())
@@ -291,7 +291,7 @@
     bench.leases.advance(bench.now + 30 * S)
     bench.now += 30 * S
     for worker in proven:
-        bench.leases.took(worker, bench.now)
+        bench.leases.record_accepted(worker, bench.now)
     bench.all.clear()
     return bench
 
@@ -302,9 +302,9 @@
 
 def answer_question(bench, worker, status, copies=1):
     if status is Status.OK:
-        bench.leases.took(worker, bench.now)
+        bench.leases.record_accepted(worker, bench.now)
     elif status is Status.FULL:
-        bench.leases.turned_away(worker)
+        bench.leases.record_draining(worker)
     return bench.do(io.Loaded(worker, "f", status, 1_000, copies, asked=True))
 
 
@@ -354,7 +354,7 @@
 def test_the_list_that_is_current_again_sends_what_waits():
     bench = stale_bench(replace(PLAIN, may_load=False), ("a",))
     bench.call()
-    bench.leases.staleness.current(bench.now)
+    bench.leases.staleness.confirm(bench.now)
     sends = only(bench.do(*bench.leases.advance(bench.now)), io.Send)
     assert [send.worker for send in sends] == ["a"]
 
