--- a/swiftwell/discovery/journal.py
+++ b/swiftwell/discovery/journal.py
@@ -1,7 +1,8 @@
-"""The journal service: events of the list of workers, numbered, as frames and as JSON.
+"""Client of the journal service, which streams numbered events of the worker list.
 
-`Frames` turns bytes into events, `Feed` says which of them are news, `Addresses` knows where a worker is;
-none of them does I/O.  `Client` keeps a connection and asks again from the last whole event.
+Events come as binary frames from the service and as JSON in the configuration.  `FrameDecoder` turns bytes
+into events, `EventSequence` drops repeated events and detects gaps, and `WorkerAddresses` holds where each
+worker is; none of them does I/O.  `JournalClient` keeps a connection and resumes after the last whole event.
 """
 
 from __future__ import annotations
@@ -22,31 +23,31 @@
 from swiftwell.interface import State
 from swiftwell.sockets import TcpStream, cause_of, is_local
 
-MOST_RECORDS = 20_000  # records of a frame: a list of so many workers is far beyond a tier
-SILENT_S = SOURCE_TIMEOUT_US / 1e6  # s without a frame, one a second is promised: the service has stopped
-SETTLED_S = 0.5  # s that a connection must stand for its word that nothing is new: the first costs nothing
-LEAST_PROGRESS = 4_096  # bytes of a frame within that time that show that it comes: 150 workers of thousands
-LOOK_S = 0.1  # s between looks at it
-AGAIN_S = (0.02, 0.1)  # s before asking again; what was missed may count as told 2 s after a break
-CONNECT_S = 0.5  # s until a connection counts as failed
-LIVED_S = 1.0  # s that a connection must have lived to be asked for again at once
-MOST_AGAIN_S = 1.0  # s between tries at most, where the service turns us away again and again
-
-_HEAD = Struct(">IQB")
-_AFTER_LENGTH = 9  # bytes of number and kind
+MAX_FRAME_RECORDS = 20_000  # far more workers than a tier has
+SILENCE_TIMEOUT_S = SOURCE_TIMEOUT_US / 1e6  # without a frame, of which one a second is promised
+MIN_CONFIRMING_AGE_S = 0.5  # age of a connection from which its empty frames count; the first proves nothing
+MIN_PROGRESS_BYTES = 4_096  # of a frame within the silence timeout, else it is silence; about 150 workers
+POLL_INTERVAL_S = 0.1  # between checks for silence
+RETRY_DELAY_RANGE_S = (0.02, 0.1)  # a missed update may count as delivered 2 s after a break
+CONNECT_TIMEOUT_S = 0.5
+MIN_STABLE_S = 1.0  # lifetime of a connection that resets the back-off
+MAX_RETRY_DELAY_S = 1.0  # where the service rejects connections again and again
+
+_HEADER = Struct(">IQB")
+_FRAME_HEAD_BYTES = 9  # number and kind, which a frame's length includes
 _RECORD = Struct(">I4sHBBBHIQ")
-NOTHING, WHOLE, CHANGES = 0, 1, 2
+EMPTY, FULL_LIST, CHANGES = 0, 1, 2  # kinds of frames
 _STATES = (State.READY, State.DRAINING, State.GONE)
-_WORDS = {"up": State.READY, "draining": State.DRAINING, "removed": State.GONE}
+_STATE_BY_STATUS = {"up": State.READY, "draining": State.DRAINING, "removed": State.GONE}
 
 
 class FrameError(ValueError):
-    """Bytes that are no frames: the connection can't be trusted any more."""
+    """Invalid frames; nothing later on the connection can be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One worker as the journal tells it; `since_ms` is the Unix millisecond of a late start, or 0."""
+    """A worker in an event; `since_ms` is when a late starter started, Unix ms, or 0."""
 
     id: str
     address: tuple[str, int]
@@ -60,230 +61,246 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Event `number`: the whole list, or what has changed."""
+    """Event `number`: the full list, or the workers that have changed."""
 
     number: int
-    whole: bool
+    is_full_list: bool
     workers: tuple[Worker, ...]
 
 
-def address(text: str) -> tuple[str, int]:
-    """HOST:PORT; raises ValueError."""
-    host, sign, port = text.rpartition(":")
-    if not sign or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65_536:
+def parse_address(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT; raises ValueError."""
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(f"not HOST:PORT: {text!r}")
     return host, int(port)
 
 
-def known(found: dict[str, Any]) -> tuple[Event, ...]:
-    """The events of the start, as the configuration keeps them; raises ValueError."""
-    events, last = [], found.get("pos")
-    if not isinstance(last, int) or not isinstance(found.get("entries"), list):
+def parse_events(document: dict[str, Any]) -> tuple[Event, ...]:
+    """The events that the configuration holds for the start; raises ValueError."""
+    events, last_number = [], document.get("pos")
+    if not isinstance(last_number, int) or not isinstance(document.get("entries"), list):
         raise ValueError("expected pos, a number, and entries, a list")
-    for at, one in enumerate(found["entries"]):
+    for index, entry in enumerate(document["entries"]):
         try:
-            hosts = one["hosts"]
-            workers = tuple(_from_json(entry) for entry in hosts["endpoints"])
-            events.append(Event(int(one["pos"]), bool(hosts["snapshot"]), workers))
+            hosts = entry["hosts"]
+            workers = tuple(_parse_worker(endpoint) for endpoint in hosts["endpoints"])
+            events.append(Event(int(entry["pos"]), bool(hosts["snapshot"]), workers))
         except (KeyError, TypeError, AttributeError) as error:
-            raise ValueError(f"entries.{at}: {type(error).__name__} {error}") from None
+            raise ValueError(f"entries.{index}: {type(error).__name__} {error}") from None
         except ValueError as error:
-            raise ValueError(f"entries.{at}: {error}") from None
-    if events and events[-1].number != last:
-        raise ValueError(f"pos is {last}, expected {events[-1].number}, the last entry's")
+            raise ValueError(f"entries.{index}: {error}") from None
+    if events and events[-1].number != last_number:
+        raise ValueError(f"pos is {last_number}, expected {events[-1].number}, the last entry's")
     return tuple(events)
 
 
-def _from_json(entry: dict[str, Any]) -> Worker:
-    state = _WORDS.get(entry["status"])
+def _parse_worker(endpoint: dict[str, Any]) -> Worker:
+    state = _STATE_BY_STATUS.get(endpoint["status"])
     if state is None:
-        raise ValueError(f"status {entry['status']!r}, expected one of {', '.join(_WORDS)}")
-    at = address(entry["address"])
-    weight, since = float(entry.get("weight", 1.0)), float(entry.get("since_ms", 0))
+        raise ValueError(f"status {endpoint['status']!r}, expected one of {', '.join(_STATE_BY_STATUS)}")
+    address = parse_address(endpoint["address"])
+    weight, since_ms = float(endpoint.get("weight", 1.0)), float(endpoint.get("since_ms", 0))
     return Worker(
-        str(entry["name"]), at, state, str(entry.get("zone", "")), str(entry.get("type", "")),
-        int(entry.get("group", 0)), weight, since,
+        str(endpoint["name"]), address, state, str(endpoint.get("zone", "")), str(endpoint.get("type", "")),
+        int(endpoint.get("group", 0)), weight, since_ms,
     )  # fmt: skip
 
 
-class Frames:
-    """Bytes of one connection into events; `None` stands for an empty frame."""
+class FrameDecoder:
+    """Decodes the bytes of one connection into events; `None` stands for an empty frame."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self._zones, self._kinds = zones, kinds
-        self._rest = bytearray()
-        self.told = 0  # number of the last event, by the last empty frame
+        self._buffer = bytearray()
+        self.latest_number = 0  # the service's last event, by the last empty frame
 
     def feed(self, data: bytes) -> list[Event | None]:
-        """Raises FrameError."""
-        rest, found = self._rest, []
-        rest += data
-        while len(rest) >= _HEAD.size:
-            length, number, kind = _HEAD.unpack_from(rest)
-            if not _AFTER_LENGTH <= length <= _AFTER_LENGTH + MOST_RECORDS * _RECORD.size:
-                raise FrameError(f"a frame of {length} bytes")
-            size = length - _AFTER_LENGTH
-            if kind > CHANGES or size % _RECORD.size or (kind == NOTHING and size):
-                raise FrameError(f"a frame of kind {kind} with {size} bytes")
-            if len(rest) < 4 + length:
+        """Takes received bytes and returns the events that are complete; raises FrameError."""
+        buffer, events = self._buffer, []
+        buffer += data
+        while len(buffer) >= _HEADER.size:
+            length, number, kind = _HEADER.unpack_from(buffer)
+            if not _FRAME_HEAD_BYTES <= length <= _FRAME_HEAD_BYTES + MAX_FRAME_RECORDS * _RECORD.size:
+                raise FrameError(f"invalid frame length: {length} bytes")
+            size = length - _FRAME_HEAD_BYTES
+            if kind > CHANGES or size % _RECORD.size or (kind == EMPTY and size):
+                raise FrameError(f"invalid frame: kind {kind} with {size} bytes of records")
+            if len(buffer) < 4 + length:
                 break
-            if kind == NOTHING:
-                self.told = number
-                found.append(None)
+            if kind == EMPTY:
+                self.latest_number = number
+                events.append(None)
             else:
-                records = _RECORD.iter_unpack(bytes(rest[_HEAD.size : 4 + length]))
-                found.append(Event(number, kind == WHOLE, tuple(map(self._worker, records))))
-            del rest[: 4 + length]
-        return found
+                records = _RECORD.iter_unpack(bytes(buffer[_HEADER.size : 4 + length]))
+                events.append(Event(number, kind == FULL_LIST, tuple(map(self._worker, records))))
+            del buffer[: 4 + length]
+        return events
 
     def _worker(self, record: tuple) -> Worker:
-        id_, at, port, state, zone, kind, cell, weight, started = record
+        id_, host, port, state, zone, kind, cell, weight, since_ms = record
         if state >= len(_STATES) or zone >= len(self._zones) or kind >= len(self._kinds) or not port:
-            raise FrameError(f"a record of worker s-{id_:08x} that can't be used")
+            raise FrameError(
+                f"invalid record of worker s-{id_:08x}: state {state}, zone {zone}, kind {kind}, port {port}"
+            )
         return Worker(
-            f"s-{id_:08x}", (socket.inet_ntoa(at), port), _STATES[state], self._zones[zone],
-            self._kinds[kind], cell, weight / 1_000, float(started),
+            f"s-{id_:08x}", (socket.inet_ntoa(host), port), _STATES[state], self._zones[zone],
+            self._kinds[kind], cell, weight / 1_000, float(since_ms),
         )  # fmt: skip
 
 
-class Feed:
-    """Which events are news: each number once, in order."""
+class EventSequence:
+    """Accepts each event number once and in order."""
 
     def __init__(self) -> None:
-        self.held = 0  # number of the last event
-        self.repeated = 0
+        self.last_number = 0  # of the last accepted event
+        self.duplicates = 0
 
-    def take(self, event: Event) -> bool:
-        """Whether an event is news; raises FrameError where one before it is missing."""
-        if event.number <= self.held:
-            self.repeated += 1
+    def accept(self, event: Event) -> bool:
+        """Whether an event is new; raises FrameError if one before it is missing."""
+        if event.number <= self.last_number:
+            self.duplicates += 1
             return False
-        if event.number != self.held + 1 and not event.whole:
-            raise FrameError(f"event {event.number} after {self.held}")
-        self.held = event.number
+        if event.number != self.last_number + 1 and not event.is_full_list:
+            raise FrameError(
+                f"event {event.number} follows {self.last_number}; events in between are missing"
+            )
+        self.last_number = event.number
         return True
 
 
-class Addresses:
-    """Where each worker is.  Workers are known by id: an address may be another's later."""
+class WorkerAddresses:
+    """Address and state of each worker, by id: an address may later belong to another worker."""
 
     def __init__(self) -> None:
-        self._of: dict[str, tuple[str, int]] = {}
+        self._addresses: dict[str, tuple[str, int]] = {}
         self._draining: set[str] = set()
 
     def __len__(self) -> int:
-        return len(self._of)
+        return len(self._addresses)
 
     def get(self, worker: str) -> tuple[str, int] | None:
-        return self._of.get(worker)
+        return self._addresses.get(worker)
 
-    def take(self, event: Event) -> list[str]:
-        """Learn from an event; the workers that are gone by it."""
+    def apply(self, event: Event) -> list[str]:
+        """Applies an event and returns the workers that it removes."""
         gone = [worker.id for worker in event.workers if worker.state is State.GONE]
-        if event.whole:
-            named = {worker.id for worker in event.workers}
-            gone += [worker for worker in self._of if worker not in named]
-        self._of |= {worker.id: worker.address for worker in event.workers}
+        if event.is_full_list:
+            listed = {worker.id for worker in event.workers}
+            gone += [worker for worker in self._addresses if worker not in listed]
+        self._addresses |= {worker.id: worker.address for worker in event.workers}
         for worker in event.workers:
             (self._draining.add if worker.state is State.DRAINING else self._draining.discard)(worker.id)
         for worker in gone:
-            self._of.pop(worker, None)
+            self._addresses.pop(worker, None)
             self._draining.discard(worker)
         return gone
 
-    def ready(self, worker: str) -> bool:
-        """Whether new work may go to a worker, by the last word of it."""
-        return worker in self._of and worker not in self._draining
+    def is_ready(self, worker: str) -> bool:
+        """Whether the list allows new calls to a worker."""
+        return worker in self._addresses and worker not in self._draining
 
 
-class Client:
-    """Follows the service for ever; `tell` takes each event that is news.
+class JournalClient:
+    """Follows the service until cancelled; `on_event` takes each new event.
 
-    `staleness` learns how the list stands; `seen_us` gives the monotonic us up to which all that came has
+    `staleness` is kept up to date; `read_until_us` gives the monotonic us up to which all received bytes have
     been read.
     """
 
     def __init__(
         self,
-        at: tuple[str, int],
-        frames: Callable[[], Frames],
-        tell: Callable[[Event], None],
+        address: tuple[str, int],
+        new_decoder: Callable[[], FrameDecoder],
+        on_event: Callable[[Event], None],
         log: Callable[..., None],
-        chance: random.Random,
+        random_: random.Random,
         staleness: ListStaleness | None = None,
-        seen_us: Callable[[], int] = lambda: time.monotonic_ns() // 1_000,
+        read_until_us: Callable[[], int] = lambda: time.monotonic_ns() // 1_000,
     ) -> None:
-        self.at, self._frames, self._tell, self._log, self._chance = at, frames, tell, log, chance
-        self._staleness, self._seen_us = staleness or ListStaleness(seen_us()), seen_us
-        self.feed = Feed()
+        self.address, self._new_decoder, self._on_event, self._log, self._random = (
+            address,
+            new_decoder,
+            on_event,
+            log,
+            random_,
+        )
+        self._staleness, self._read_until_us = staleness or ListStaleness(read_until_us()), read_until_us
+        self.sequence = EventSequence()
         self.connections = 0
         self._stream: TcpStream | None = None
         self._failures = 0
-        self._moved = asyncio.Event()
-        self._trusted = True  # what the service says on the connection at hand shows how the list stands
-        self._missed = 0  # number up to which events were missed and asked for again
+        self._address_changed = asyncio.Event()
+        self._confirms_list = True  # whether empty frames on the current connection confirm the list
+        self._requested_number = 0  # last missing event for which a connection was renewed
 
-    def start(self, events: Iterable[Event]) -> None:
-        """Take the events of a configuration; those already held are passed over.
+    def apply_initial(self, events: Iterable[Event]) -> None:
+        """Takes the events of a configuration and skips those already accepted.
 
-        One that does not follow what is held ends it: its changes would be taken for a list that they are not
-        of, and the service tells all from the number held.
+        The first event that leaves a gap ends it: its changes don't apply to the list held here, and the
+        service sends everything after the last accepted number.
         """
         for event in events:
             try:
-                news = self.feed.take(event)
+                is_new = self.sequence.accept(event)
             except FrameError as error:
-                self._log("warning", "journal-gap", why=str(error), held=self.feed.held)
+                self._log("warning", "journal-gap", why=str(error), held=self.sequence.last_number)
                 return
-            if news:
-                self._tell(event)
+            if is_new:
+                self._on_event(event)
 
-    def distrust(self) -> None:
-        """The service may have moved: what the connection at hand says shows nothing any more."""
-        self._trusted = False
+    def stop_confirming(self) -> None:
+        """Ignores empty frames of the current connection as confirmations: the service may have moved."""
+        self._confirms_list = False
 
-    def move(self, at: tuple[str, int]) -> None:
-        """The service has another address: ask there, from the last event held."""
-        self.at, self._failures = at, 0
-        self._moved.set()  # also out of a rest between two tries: it was for the other address
+    def reconnect(self, address: tuple[str, int]) -> None:
+        """Connects to the service at this address and resumes after the last accepted event."""
+        self.address, self._failures = address, 0
+        self._address_changed.set()  # also ends a back-off, which was for the other address
         if self._stream:
             self._stream.close()
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Keeps a connection until cancelled."""
         while True:
             began = time.monotonic()
-            self._moved.clear()
+            self._address_changed.clear()
             try:
-                why = await self._follow()
-            except Exception as error:  # a watch that ended for good would be a list that never changes again
-                why = f"failed: {type(error).__name__}: {error}"
-            lived = time.monotonic() - began
-            self._failures = 0 if lived >= LIVED_S else self._failures + 1
-            self._log("info", "journal-left", at=f"{self.at[0]}:{self.at[1]}", why=why, held=self.feed.held)
-            wait = self._chance.uniform(*AGAIN_S) * 2 ** min(self._failures, 8)
-            # Not `wait_for`: one whose event is set as it is cancelled forgets that it was (Python 3.11).
+                reason = await self._follow()
+            except Exception as error:  # if this task ended, the list would never change again
+                reason = f"failed: {type(error).__name__}: {error}"
+            lifetime_s = time.monotonic() - began
+            self._failures = 0 if lifetime_s >= MIN_STABLE_S else self._failures + 1
+            self._log(
+                "info",
+                "journal-left",
+                at=f"{self.address[0]}:{self.address[1]}",
+                why=reason,
+                held=self.sequence.last_number,
+            )
+            delay_s = self._random.uniform(*RETRY_DELAY_RANGE_S) * 2 ** min(self._failures, 8)
+            # Not `wait_for`, which loses a cancellation that comes as the event is set (Python 3.11).
             with suppress(TimeoutError):
-                async with asyncio.timeout(min(wait, MOST_AGAIN_S)):
-                    await self._moved.wait()
+                async with asyncio.timeout(min(delay_s, MAX_RETRY_DELAY_S)):
+                    await self._address_changed.wait()
 
     async def _follow(self) -> str:
-        """One connection, from the number held to its end; why it ended."""
+        """Follows one connection from the last accepted number to its end; returns why it ended."""
         self.connections += 1
-        self._trusted = True
+        self._confirms_list = True
         try:
             stream = self._stream = TcpStream()
-        except OSError as error:  # no descriptor: later there may be one
+        except OSError as error:  # no descriptor; one may be free at the next try
             return f"{type(error).__name__}: {error}"
         try:
-            async with asyncio.timeout(CONNECT_S):
-                await stream.connect(self.at)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await stream.connect(self.address)
             stream.set_nodelay(True)
-            self._staleness.connection_seen(self._seen_us())
-            stream.write(self.feed.held.to_bytes(8, "big"))
-            return await self._read(stream, self._frames())
+            self._staleness.connection_seen(self._read_until_us())
+            stream.write(self.sequence.last_number.to_bytes(8, "big"))
+            return await self._read(stream, self._new_decoder())
         except (OSError, TimeoutError, StreamClosedError) as error:
-            if not self._moved.is_set() and not is_local(cause_of(error)):
+            if not self._address_changed.is_set() and not is_local(cause_of(error)):
                 self._staleness.connection_broken()
             return f"{type(error).__name__}: {error}"
         except FrameError as error:
@@ -294,57 +311,63 @@
             if self._stream is stream:
                 self._stream = None
 
-    async def _read(self, stream: TcpStream, frames: Frames) -> str:
-        reading, quiet, looked, progress = None, 0.0, time.monotonic(), 0
-        asked, spoken = looked, False
+    async def _read(self, stream: TcpStream, decoder: FrameDecoder) -> str:
+        reading, silent_s, checked_at, progress_bytes = None, 0.0, time.monotonic(), 0
+        connected_at, has_event = checked_at, False
         try:
             while True:
-                reading = reading or asyncio.ensure_future(_some(stream))
-                done, _ = await asyncio.wait((reading,), timeout=LOOK_S)
-                # A stall of our own counts for one look, as what came meanwhile is read only after it.
+                reading = reading or asyncio.ensure_future(_read_some(stream))
+                done, _ = await asyncio.wait((reading,), timeout=POLL_INTERVAL_S)
+                # A stall of this process counts for one interval: what came meanwhile is read only after it.
                 now = time.monotonic()
-                quiet, looked = quiet + min(now - looked, LOOK_S), now
+                silent_s, checked_at = silent_s + min(now - checked_at, POLL_INTERVAL_S), now
                 if done:
                     data, reading = reading.result(), None
-                    events, progress = frames.feed(data), progress + len(data)
-                    # A long list may take its time; bytes that trickle into a frame for ever are silence.
-                    if events or progress >= LEAST_PROGRESS:
-                        quiet, progress = 0.0, 0
+                    events, progress_bytes = decoder.feed(data), progress_bytes + len(data)
+                    # A long list may take its time, but a frame that trickles in is silence.
+                    if events or progress_bytes >= MIN_PROGRESS_BYTES:
+                        silent_s, progress_bytes = 0.0, 0
                     for event in events:
                         self._take(event)
-                    if spoken and now - asked >= SETTLED_S and events and events[-1] is None:
-                        self._shown_current(frames.told)
-                    spoken = spoken or bool(events)
-                self._staleness.connection_seen(self._seen_us())
-                # "Nothing new" after an event that never came: a watch that only sounds alive.  Asked anew
-                # once for each such number, as the page does not say that an empty frame's number means it.
-                if frames.told > max(self.feed.held, self._missed):
-                    self._missed = frames.told
-                    return f"events up to {frames.told} are missing"
-                if quiet > SILENT_S:
+                    if (
+                        has_event
+                        and now - connected_at >= MIN_CONFIRMING_AGE_S
+                        and events
+                        and events[-1] is None
+                    ):
+                        self._confirm_list(decoder.latest_number)
+                    has_event = has_event or bool(events)
+                self._staleness.connection_seen(self._read_until_us())
+                # An empty frame names an event that never came.  The connection is renewed once for each such
+                # number only, as the protocol doesn't say that this number must have been sent.
+                if decoder.latest_number > max(self.sequence.last_number, self._requested_number):
+                    self._requested_number = decoder.latest_number
+                    return f"events up to {decoder.latest_number} are missing"
+                if silent_s > SILENCE_TIMEOUT_S:
                     return "silent"
         finally:
             if reading:
                 reading.cancel()
 
     def _take(self, event: Event | None) -> None:
-        held = self.feed.held
-        if event is None or not self.feed.take(event):
+        last_number = self.sequence.last_number
+        if event is None or not self.sequence.accept(event):
             return
         try:
-            self._tell(event)
-        except Exception:  # it was not taken: it is to be told again
-            self.feed.held = held
+            self._on_event(event)
+        except Exception:  # the event was not applied, so it must be requested again
+            self.sequence.last_number = last_number
             raise
 
-    def _shown_current(self, last: int) -> None:
-        """The service says that nothing is new after its event `last`.
+    def _confirm_list(self, latest_number: int) -> None:
+        """Handles an empty frame, by which no event follows `latest_number`.
 
-        Its first frame on a connection shows nothing: a service that breaks off again and again says as much.
+        The first frame of a connection confirms nothing: a service that breaks off again and again sends it
+        too.
         """
-        if self._trusted and last == self.feed.held:
-            self._staleness.confirm(self._seen_us())
+        if self._confirms_list and latest_number == self.sequence.last_number:
+            self._staleness.confirm(self._read_until_us())
 
 
-async def _some(stream: TcpStream) -> bytes:
+async def _read_some(stream: TcpStream) -> bytes:
     return await stream.read_bytes(65_536, partial=True)
--- a/swiftwell/discovery/start_times.py
+++ b/swiftwell/discovery/start_times.py
@@ -33,8 +33,8 @@
     def members(self, event: journal.Event, now_us: int, at_our_start: bool = False) -> io.Members:
         """An event as the module takes it; `at_our_start`: it was there when this process began."""
         at_our_start |= not self._has_list
-        self._has_list |= event.whole
-        if event.whole:
+        self._has_list |= event.is_full_list
+        if event.is_full_list:
             named = {worker.id for worker in event.workers}
             self._starts = {id_: start for id_, start in self._starts.items() if id_ in named}
         entries = tuple(
@@ -52,7 +52,7 @@
         for worker in event.workers:
             if worker.state is State.GONE:
                 self._starts.pop(worker.id, None)
-        return io.Members(ListKind.FULL if event.whole else ListKind.DELTA, entries)
+        return io.Members(ListKind.FULL if event.is_full_list else ListKind.DELTA, entries)
 
     def _started_us(self, worker: journal.Worker, now_us: int, at_our_start: bool) -> int:
         """Monotonic us of a late start, never later than we were told of it; 0 where there is none."""
--- a/swiftwell/discovery/worker_leases.py
+++ b/swiftwell/discovery/worker_leases.py
@@ -39,7 +39,7 @@
 
 
 class WorkerLeases:
-    """Leases of all workers; no proof is needed where `grace_us` is None, as the deployment has no drain rule."""
+    """Leases of all workers.  Without a drain rule `grace_us` is None, and no proof is needed."""
 
     def __init__(self, staleness: ListStaleness, grace_us: int | None) -> None:
         self.staleness, self._grace_us = staleness, grace_us
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -53,7 +53,7 @@
         bound = {"margin_us": MARGIN_US, "max_open": platform.most_open}
         self.engine = Engine(settings, None, seed=platform.seed, leases=leases, **bound)
         share = divide(platform.sockets)
-        self.addresses = journal.Addresses()
+        self.addresses = journal.WorkerAddresses()
         self._start_times, self._starting = StartTimes(self.clock.started_us), True
         # No order is forgotten before the engine stops waiting: loads may take longer than the link's bound.
         order_s = max(ORDER_S, settings.order_timeout_us / 1e6)
@@ -65,7 +65,7 @@
             self.addresses.get,
             self.enqueue,
             self.log,
-            self.addresses.ready,
+            self.addresses.is_ready,
             self.wake,
             lambda worker: leases.may_write(worker, self.clock.now_us()),
             lambda: self._staleness.is_overdue(self.clock.now_us()),
@@ -74,9 +74,9 @@
         contract = Contract.of(settings)
         self._loop_lag = LoopLag(time.monotonic())
         self.front = Listener(self, contract, share.clients, lambda: self.healthy, self._unseen_s)
-        frames = lambda: journal.Frames(platform.zones, platform.kinds)  # noqa: E731
+        frames = lambda: journal.FrameDecoder(platform.zones, platform.kinds)  # noqa: E731
         chance, staleness = random.Random(platform.seed), self._staleness
-        self.journal = journal.Client(
+        self.journal = journal.JournalClient(
             platform.journal, frames, self._listed, self.log, chance, staleness, self._seen_us
         )
         self.ended = asyncio.Event()
@@ -96,7 +96,7 @@
 
     async def start(self) -> None:
         """Open everything; raises OSError."""
-        self.journal.start(self.platform.known)
+        self.journal.apply_initial(self.platform.known)
         self._starting = False
         self._tasks.append(asyncio.ensure_future(self.journal.run()))
         host, port = self.platform.listen
@@ -124,11 +124,11 @@
     def _listed(self, event: journal.Event) -> None:
         for worker in event.workers:
             self._leases.listed(worker.id)
-        for worker in self.addresses.take(event):
+        for worker in self.addresses.apply(event):
             self._leases.forget(worker)
             self.link.gone(worker)
         members = self._start_times.members(event, self.clock.now_us(), at_our_start=self._starting)
-        if not event.whole:
+        if not event.is_full_list:
             self._log_changes(event)
         self.enqueue(ports.Listed(members))
 
@@ -157,18 +157,18 @@
 
     def reload(self) -> None:
         """SIGHUP: the journal service may have moved; anything else is told at the next start."""
-        self.journal.distrust()  # until the file is read, which may take some tries
+        self.journal.stop_confirming()  # until the file is read, which may take some tries
         self._reload.request()
 
     def _kept_configuration(self) -> None:
         """No new file could be read: the service is where it was, and is asked anew."""
-        self.journal.move(self.journal.at)
+        self.journal.reconnect(self.journal.address)
 
     def _reconfigured(self, platform: Platform) -> None:
-        self.journal.start(platform.known)
-        moved = platform.journal != self.journal.at
+        self.journal.apply_initial(platform.known)
+        moved = platform.journal != self.journal.address
         self.log("info", "configuration", journal=f"{platform.journal[0]}:{platform.journal[1]}", moved=moved)
-        self.journal.move(platform.journal)
+        self.journal.reconnect(platform.journal)
 
     def stop(self) -> None:
         """SIGTERM: go on until nothing more can come, then end."""
@@ -247,7 +247,7 @@
             replies=kinds, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
             link=dict(self.link.counts), sizes=tables(self.engine) | self.link.sizes(),
             counts=dict(self.engine.counts), ends=dict(self.engine.ends),
-            held=self.journal.feed.held, asked=self.journal.connections, list=self._list_figures(),
+            held=self.journal.sequence.last_number, asked=self.journal.connections, list=self._list_figures(),
         )  # fmt: skip
 
     def _list_figures(self) -> dict[str, object]:
--- a/swiftwell/scale/ranking.py
+++ b/swiftwell/scale/ranking.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
 
-from swiftwell.discovery.journal import MOST_RECORDS
+from swiftwell.discovery.journal import MAX_FRAME_RECORDS
 from swiftwell.platform.limits import divide
 from swiftwell.scale import slopes
 from swiftwell.scale.cases import FLAT_EXPONENT, ListCase, RoutingCase
@@ -210,9 +210,9 @@
 )
 # Bounds that stand in the code, and the size that they are held against: no run is needed for these.
 WRITTEN = (
-    ("records of one frame of the list, an entry for each instance", MOST_RECORDS, TARGET.instances,
+    ("records of one frame of the list, an entry for each instance", MAX_FRAME_RECORDS, TARGET.instances,
      "none yet (discovery/journal refuses longer frames)"),
-    ("records of one frame of the list", MOST_RECORDS, TARGET.workers, "swiftwell/discovery/journal"),
+    ("records of one frame of the list", MAX_FRAME_RECORDS, TARGET.workers, "swiftwell/discovery/journal"),
 )  # fmt: skip
 
 
--- a/swiftwell/settings/platform.py
+++ b/swiftwell/settings/platform.py
@@ -92,7 +92,7 @@
 
     def address(self, path: str) -> tuple[str, int]:
         try:
-            return journal.address(self.at(path, str, "HOST:PORT"))
+            return journal.parse_address(self.at(path, str, "HOST:PORT"))
         except ValueError:
             raise self.wrong(path, "HOST:PORT") from None
 
@@ -120,7 +120,7 @@
     kinds = tuple(filter(None, pairs.get("flavors", "").split(",")))
     listed = reader.at("known", dict, "an object")
     try:
-        known = journal.known(listed)
+        known = journal.parse_events(listed)
     except ValueError as error:
         raise ConfigError(f"{file}: known: {error}") from None
     day_ms = 86_400_000
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,7 +37,7 @@
 from test_resp import ID, OTHER, Play
 
 from swiftwell.discovery import journal
-from swiftwell.discovery.journal import Client, Frames
+from swiftwell.discovery.journal import FrameDecoder, JournalClient
 from swiftwell.fronts.fastcgi import codec
 from swiftwell.fronts.fastcgi import connection as fc
 from swiftwell.fronts.fastcgi.pending import MAX_SILENT_SWEEPS
@@ -651,7 +651,7 @@
 
 
 def _frames():
-    return Frames(("east",), ("std", "big"))
+    return FrameDecoder(("east",), ("std", "big"))
 
 
 class Following:
@@ -660,8 +660,8 @@
     def __init__(self, port, tell):
         self.lines = []
         log = lambda *args, **fields: self.lines.append((args, fields))  # noqa: E731
-        self.client = Client((HOST, port), _frames, tell, log, random.Random(1))
-        self.client.feed.held = 1
+        self.client = JournalClient((HOST, port), _frames, tell, log, random.Random(1))
+        self.client.sequence.last_number = 1
 
     async def __aenter__(self):
         self.task = asyncio.ensure_future(self.client.run())
@@ -686,15 +686,15 @@
 
         async with Journal(serve) as service, Following(service.port, once_wrong) as one:
             await until(lambda: len(told) == 2)
-            assert told == [2, 2] and service.asked[:2] == [1, 1] and one.client.feed.held == 2
+            assert told == [2, 2] and service.asked[:2] == [1, 1] and one.client.sequence.last_number == 2
             assert any("planted" in fields.get("why", "") for _, fields in one.lines)
 
     run(main())
 
 
 def test_a_new_address_is_asked_at_once_out_of_a_long_rest(monkeypatch):
-    monkeypatch.setattr(journal, "AGAIN_S", (600.0, 700.0))
-    monkeypatch.setattr(journal, "MOST_AGAIN_S", 600.0)
+    monkeypatch.setattr(journal, "RETRY_DELAY_RANGE_S", (600.0, 700.0))
+    monkeypatch.setattr(journal, "MAX_RETRY_DELAY_S", 600.0)
 
     async def main():
         async def serve(service, number, writer):
@@ -703,14 +703,14 @@
         told = []
         async with Journal(serve) as service, Following(1, told.append) as one:
             await until(lambda: one.lines)  # refused, and resting
-            one.client.move((HOST, service.port))
+            one.client.reconnect((HOST, service.port))
             await until(lambda: told)
 
     run(main())
 
 
 def test_a_stall_of_our_own_is_no_silence_where_bytes_wait(monkeypatch):
-    monkeypatch.setattr(journal, "SILENT_S", 0.3)
+    monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
 
     async def main():
         writers = []
@@ -732,7 +732,7 @@
 
 
 def test_a_frame_that_trickles_for_ever_is_silence(monkeypatch):
-    monkeypatch.setattr(journal, "SILENT_S", 0.3)
+    monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
 
     async def main():
         async def serve(service, number, writer):
@@ -765,24 +765,24 @@
         told = []
         async with Journal(serve) as service, Following(service.port, told.append) as one:
             await until(lambda: len(told) == 2)
-            assert service.asked == [1, 1] and one.client.feed.held == 3
+            assert service.asked == [1, 1] and one.client.sequence.last_number == 3
 
     run(main())
 
 
 def test_known_events_with_a_gap_are_left_to_the_service():
     told, lines = [], []
-    client = Client((HOST, 1), _frames, told.append, lambda *a, **f: lines.append(f), random.Random(1))
+    client = JournalClient((HOST, 1), _frames, told.append, lambda *a, **f: lines.append(f), random.Random(1))
     worker = journal.Worker("s-00000001", (HOST, 80), next(iter(journal._STATES)), "east", "std", 0, 1.0, 0.0)
     whole = journal.Event(1, True, (worker,))
-    client.start([whole, journal.Event(3, False, (worker,))])
-    assert [event.number for event in told] == [1] and client.feed.held == 1 and lines
+    client.apply_initial([whole, journal.Event(3, False, (worker,))])
+    assert [event.number for event in told] == [1] and client.sequence.last_number == 1 and lines
 
 
 def test_a_whole_list_with_a_lower_number_is_a_repeat():
-    feed = journal.Feed()
-    feed.held = 5
-    assert not feed.take(journal.Event(3, True, ())) and feed.held == 5
+    sequence = journal.EventSequence()
+    sequence.last_number = 5
+    assert not sequence.accept(journal.Event(3, True, ())) and sequence.last_number == 5
 
 
 # Turns and tables.
--- a/tests/test_journal_service.py
+++ b/tests/test_journal_service.py
@@ -11,14 +11,20 @@
 from socketbench import run
 
 from swiftwell.discovery import journal
-from swiftwell.discovery.journal import Addresses, Client, Feed, FrameError, Frames
+from swiftwell.discovery.journal import (
+    EventSequence,
+    FrameDecoder,
+    FrameError,
+    JournalClient,
+    WorkerAddresses,
+)
 from swiftwell.interface import State
 
 ZONES, KINDS = ("east",), ("std",)
 
 
 def frames():
-    return Frames(ZONES, KINDS)
+    return FrameDecoder(ZONES, KINDS)
 
 
 @given(st.integers(1, 40))
@@ -27,7 +33,7 @@
     reader, found = frames(), []
     for at in range(0, len(data), step):
         found += reader.feed(data[at : at + step])
-    assert [event and (event.number, event.whole) for event in found] == [(1, True), None, (2, False)]
+    assert [event and (event.number, event.is_full_list) for event in found] == [(1, True), None, (2, False)]
     assert [(w.id, w.address, w.state) for w in found[0].workers] == [
         ("s-00000007", (HOST, 80), State.READY), ("s-00000008", (HOST, 81), State.DRAINING),
     ]  # fmt: skip
@@ -46,42 +52,42 @@
 
 
 def test_each_event_is_news_once_and_a_gap_is_an_error():
-    feed = Feed()
+    sequence = EventSequence()
     whole, change = (journal.Event(number, number == 4, ()) for number in (4, 5))
-    assert feed.take(whole) and feed.take(change)
-    assert not feed.take(whole) and not feed.take(change) and feed.repeated == 2
+    assert sequence.accept(whole) and sequence.accept(change)
+    assert not sequence.accept(whole) and not sequence.accept(change) and sequence.duplicates == 2
     with pytest.raises(FrameError):
-        feed.take(journal.Event(7, False, ()))
-    assert feed.held == 5 and feed.take(journal.Event(9, True, ()))
+        sequence.accept(journal.Event(7, False, ()))
+    assert sequence.last_number == 5 and sequence.accept(journal.Event(9, True, ()))
 
 
 def test_known_events_and_what_is_wrong_with_them():
     hosts = {"index": 0, "snapshot": True, "endpoints": [endpoint(7, 80)]}
-    (event,) = journal.known({"pos": 3, "entries": [{"pos": 3, "hosts": hosts}]})
-    assert event.number == 3 and event.whole and event.workers[0].id == "s-00000007"
+    (event,) = journal.parse_events({"pos": 3, "entries": [{"pos": 3, "hosts": hosts}]})
+    assert event.number == 3 and event.is_full_list and event.workers[0].id == "s-00000007"
     for wrong in (
         {"pos": 3}, {"pos": "3", "entries": []}, {"pos": 4, "entries": [{"pos": 3, "hosts": hosts}]},
         {"pos": 3, "entries": [{}]}, {"pos": 3, "entries": [{"pos": 3, "hosts": {"endpoints": [{}]}}]},
     ):  # fmt: skip
         with pytest.raises(ValueError, match=r"expected|entries"):
-            journal.known(wrong)
+            journal.parse_events(wrong)
 
 
 def test_a_worker_is_its_id_also_where_another_has_its_address():
-    at, worker = Addresses(), journal.Worker("s-1", (HOST, 80), State.READY, "", "", 0, 1.0, 0.0)
-    at.take(journal.Event(1, True, (worker,)))
+    addresses, worker = WorkerAddresses(), journal.Worker("s-1", (HOST, 80), State.READY, "", "", 0, 1.0, 0.0)
+    addresses.apply(journal.Event(1, True, (worker,)))
     new = journal.Worker("s-2", (HOST, 80), State.READY, "", "", 0, 1.0, 0.0)
     old = journal.Worker("s-1", (HOST, 80), State.GONE, "", "", 0, 1.0, 0.0)
-    assert at.take(journal.Event(2, False, (new, old))) == ["s-1"]
-    assert at.get("s-1") is None and at.get("s-2") == (HOST, 80)
-    assert at.take(journal.Event(3, True, ())) == ["s-2"] and len(at) == 0
+    assert addresses.apply(journal.Event(2, False, (new, old))) == ["s-1"]
+    assert addresses.get("s-1") is None and addresses.get("s-2") == (HOST, 80)
+    assert addresses.apply(journal.Event(3, True, ())) == ["s-2"] and len(addresses) == 0
 
 
 @asynccontextmanager
 async def following(port):
     told = []
-    client = Client((HOST, port), frames, told.append, lambda *args, **fields: None, random.Random(1))
-    client.feed.held = 1
+    client = JournalClient((HOST, port), frames, told.append, lambda *args, **fields: None, random.Random(1))
+    client.sequence.last_number = 1
     task = asyncio.ensure_future(client.run())
     try:
         yield client, told
@@ -107,7 +113,7 @@
 
 
 def test_silence_while_open_is_noticed_and_asked_about_anew(monkeypatch):
-    monkeypatch.setattr(journal, "SILENT_S", 0.3)
+    monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
 
     async def main():
         async def serve(service, number, writer):
@@ -133,7 +139,7 @@
 
         async with Journal(serve) as service, following(service.port) as (client, told):
             await until(lambda: told)
-            assert service.asked == [1, 1, 1] and client.feed.held == 2
+            assert service.asked == [1, 1, 1] and client.sequence.last_number == 2
 
     run(main())
 
@@ -145,8 +151,8 @@
 
         async with Journal(serve) as old, Journal(serve) as new, following(old.port) as (client, told):
             await until(lambda: told)
-            client.move((HOST, new.port))
-            client.move((HOST, new.port))  # also while the first is being handled
+            client.reconnect((HOST, new.port))
+            client.reconnect((HOST, new.port))  # also while the first is being handled
             await until(lambda: len(told) >= 2)
             assert old.asked == [1] and new.asked[0] == 2 and [e.number for e in told[:2]] == [2, 3]
 
--- a/tests/test_keyed_and_spoilt.py
+++ b/tests/test_keyed_and_spoilt.py
@@ -76,7 +76,7 @@
 
 def test_a_long_list_that_comes_slowly_is_read_to_its_end(monkeypatch):
     async def main():
-        monkeypatch.setattr(journal, "SILENT_S", 0.3)
+        monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
         whole = frame(7, 1, [(number, 80, 0) for number in range(1, 3_201)])
         told = []
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -291,13 +291,13 @@
         async with Worker(echo) as one, Worker(echo) as two, Journal(serve) as service:
             service.more = asyncio.Event()
             async with router(tmp_path, [one.port, two.port], journal=service.port) as node:
-                await until(lambda: node.journal.feed.held == 2)
+                await until(lambda: node.journal.sequence.last_number == 2)
                 async with Front(node.port) as front:
                     for n in range(1, 9):
                         assert (await front.ask(n, fields(id_(n))))[0] == 200
                     assert not one.runs() and len(two.runs()) == 8
                     service.more.set()
-                    await until(lambda: node.journal.feed.held == 3)
+                    await until(lambda: node.journal.sequence.last_number == 3)
                     for n in range(11, 19):
                         assert (await front.ask(n, fields(id_(n))))[0] == 200
                     assert len(one.runs()) == 8 and len(two.runs()) == 8
@@ -325,11 +325,11 @@
             await until(lambda: old.asked)
             node.file.write_text("{")
             node.reload()
-            assert node.journal.at == (HOST, old.port) and "configuration-kept" in node.lines.getvalue()
+            assert node.journal.address == (HOST, old.port) and "configuration-kept" in node.lines.getvalue()
             node.file.write_text(json.dumps(document([9], journal=new.port)))
             node.reload()
             node.reload()
-            await until(lambda: node.journal.feed.held == 2)
+            await until(lambda: node.journal.sequence.last_number == 2)
             assert new.asked[0] == 1 and len(node.addresses) == 2
 
     run(main())
--- a/tests/test_start_and_reload.py
+++ b/tests/test_start_and_reload.py
@@ -27,7 +27,7 @@
         async with Following(9, lambda event: None) as following:  # nobody listens there
             await until(lambda: following.client._failures > 3)
             await until(lambda: following.client._stream is None)
-            following.client.move((HOST, 8))
+            following.client.reconnect((HOST, 8))
             following.task.cancel()
             await until(following.task.done)
 
@@ -42,8 +42,8 @@
             moved["journal"] = f"{HOST}:{worker.port}"
             node.file.write_text(whole[:100])
             node.reload()
-            assert node.journal.at == (HOST, 9)
+            assert node.journal.address == (HOST, 9)
             node.file.write_text(json.dumps(moved))
-            await until(lambda: node.journal.at == (HOST, worker.port))  # no second SIGHUP comes
+            await until(lambda: node.journal.address == (HOST, worker.port))  # no second SIGHUP comes
 
     run(main())
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -164,7 +164,7 @@
     age = ListStaleness(0)
     async with Journal(serve) as service:
         began = time.monotonic()
-        client = journal.Client(
+        client = journal.JournalClient(
             (HOST, service.port),
             frames,
             lambda event: None,
@@ -173,7 +173,7 @@
             age,
             lambda: int((time.monotonic() - began) * S),
         )
-        client.feed.held = 1
+        client.sequence.last_number = 1
         age.confirm(0)
         task = asyncio.ensure_future(client.run())
         await asyncio.sleep(until_s)
@@ -242,11 +242,11 @@
         age.confirm(0)
         async with Journal(stands) as old, Journal(stands) as new:
             at = (HOST, old.port)
-            client = journal.Client(at, frames, print, lambda *a, **f: None, random.Random(1), age)
+            client = journal.JournalClient(at, frames, print, lambda *a, **f: None, random.Random(1), age)
             task = asyncio.ensure_future(client.run())
             await until(lambda: old.asked)
             for _ in range(5):  # new configurations in a row
-                client.move((HOST, new.port))
+                client.reconnect((HOST, new.port))
                 await asyncio.sleep(0.01)
             await until(lambda: new.asked)
             assert age.reason() == "silent" and age.stale_from_us() == staleness.STALE_AFTER_STOP_US
@@ -267,14 +267,14 @@
         age = ListStaleness(0)
         async with Journal(serve) as service:
             at = (HOST, service.port)
-            client = journal.Client(at, frames, print, lambda *a, **f: None, random.Random(1), age)
-            client.feed.held = 1
+            client = journal.JournalClient(at, frames, print, lambda *a, **f: None, random.Random(1), age)
+            client.sequence.last_number = 1
             task = asyncio.ensure_future(client.run())
             await until(lambda: service.asked)
-            client.distrust()
+            client.stop_confirming()
             await asyncio.sleep(1.0)
             assert age.confirmed_us is None
-            client.move(at)
+            client.reconnect(at)
             await until(lambda: age.confirmed_us is not None)
             task.cancel()
 
