--- a/swiftwell/discovery/keeper.py
+++ b/swiftwell/discovery/keeper.py
@@ -62,7 +62,7 @@
             sorted((one.entry.worker, one.entry.state.value, one.entry.started_us) for one in known)
         )
         changed = shape != self._shape
-        first = self._saved_us or now - trust.REFRESH_US
+        first = self._saved_us or now - trust.REFRESH_INTERVAL_US
         if not trust.may_save(now, first, self._count, len(known), self._roster.size_since, changed):
             return
         workers = tuple(
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -239,15 +239,15 @@
             case ports.Copy():
                 self._events.append(io.Loaded(given.worker, given.function, Status.OK, 0, given.copies))
             case ports.Listed():
-                told = self.list.listed(self._now, given.members)
+                told = self.list.apply_list(self._now, given.members)
                 self._events.append(self._same(self._unhidden(told)))
                 self._confirm(given.members)
                 self._roster()
             case ports.Saved():
-                self._members(self.list.saved(self._now, given.entries))
+                self._members(self.list.add_saved(self._now, given.entries))
                 self._roster()
             case ports.Asked():
-                told = self.list.asked(
+                told = self.list.query_ended(
                     self._now, given.worker, given.draining, given.started_us, given.answered
                 )
                 self._members(told)
@@ -520,7 +520,7 @@
         for entry in members.entries:
             worker = known.get(entry.worker)
             start = worker.entry.started_us if worker else 0
-            if start and entry.started_us and 0 < abs(start - entry.started_us) < trust.SAME_START_US:
+            if start and entry.started_us and 0 < abs(start - entry.started_us) < trust.START_TOLERANCE_US:
                 entry = replace(entry, started_us=start)
             entries.append(entry)
         return members._replace(entries=tuple(entries))
@@ -529,7 +529,7 @@
         """What a worker says of itself corrects the list at once."""
         heard = end.answered or end.draining
         if heard or end.status is Status.CONNECT_FAILED:
-            self._members(self.list.said(self._now, worker, end.draining, end.started_us, heard))
+            self._members(self.list.record_report(self._now, worker, end.draining, end.started_us, heard))
 
     def _members(self, told: io.Members | None) -> None:
         """Tell the module of workers."""
@@ -567,10 +567,10 @@
 
     def _roster(self) -> None:
         """Ask the workers that the roster wants asked, and come back when it wants more."""
-        self._members(self.list.step(self._now))
-        for worker in self.list.asks(self._now):
-            self._out.append(ports.Ask(worker, trust.ANSWER_US))
-        at = self.list.next_us(self._now)
+        self._members(self.list.expire_unlisted(self._now))
+        for worker in self.list.due_queries(self._now):
+            self._out.append(ports.Ask(worker, trust.QUERY_TIMEOUT_US))
+        at = self.list.next_due_us(self._now)
         if at is not None and (self._list_at is None or at < self._list_at):
             self._wheel.cancel(self._list_timer)
             self._list_at = at
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -139,7 +139,15 @@
 
 
 def test_trust_falls_with_age():
-    ages = [0, trust.FRESH_US, trust.FRESH_US + 1, trust.RECENT_US, trust.RECENT_US + 1, 10 * DAY, None]
+    ages = [
+        0,
+        trust.FRESH_AGE_US,
+        trust.FRESH_AGE_US + 1,
+        trust.RECENT_AGE_US,
+        trust.RECENT_AGE_US + 1,
+        10 * DAY,
+        None,
+    ]
     assert [int(trust.grade(age)) for age in ages] == [0, 0, 1, 1, 2, 2, 2]
 
 
@@ -154,15 +162,15 @@
 
 def test_gateways_that_start_together_do_not_flood_a_worker():
     for gateways, workers in ((1, 4), (20, 8), (170, 64), (280, 85)):
-        spread = trust.gap_us(gateways, workers) * workers / 1e6
-        assert gateways / max(spread, 0.02) <= trust.ASKS_PER_S * 1.01 or gateways == 1
+        spread = trust.query_interval_us(gateways, workers) * workers / 1e6
+        assert gateways / max(spread, 0.02) <= trust.MAX_QUERIES_PER_S * 1.01 or gateways == 1
 
 
 def test_when_a_list_may_replace_the_saved_one():
     ok = lambda **more: trust.may_save(**{"now_us": HOUR, "saved_us": 0, "saved": 10, "listed": 10,  # noqa: E731
                                           "since_us": HOUR, "changed": True} | more)  # fmt: skip
     assert ok() and ok(listed=5) and not ok(listed=0) and not ok(listed=0, since_us=0)
-    assert not ok(listed=4) and ok(listed=4, since_us=HOUR - trust.COLLAPSE_US)
+    assert not ok(listed=4) and ok(listed=4, since_us=HOUR - trust.COLLAPSE_CONFIRM_US)
     assert not ok(saved_us=HOUR - SECOND) and not ok(saved_us=HOUR - 30 * SECOND, changed=False)
 
 
@@ -171,92 +179,100 @@
 
 def test_fresh_entries_are_used_at_once_and_older_ones_when_they_answer():
     roster = Roster()
-    told = roster.saved(NOW, [(entry("fresh"), SECOND), (entry("aged"), 60 * SECOND), (entry("old"), DAY)])
+    told = roster.add_saved(
+        NOW, [(entry("fresh"), SECOND), (entry("aged"), 60 * SECOND), (entry("old"), DAY)]
+    )
     assert states(told) == {"fresh": State.READY}
-    assert sorted(roster.asks(NOW)) == ["aged", "fresh", "old"]
-    assert states(roster.asked(NOW, "aged", False, 0, True)) == {"aged": State.READY}
-    old = roster.asked(NOW, "old", False, 0, True).entries[0]
+    assert sorted(roster.due_queries(NOW)) == ["aged", "fresh", "old"]
+    assert states(roster.query_ended(NOW, "aged", False, 0, True)) == {"aged": State.READY}
+    old = roster.query_ended(NOW, "old", False, 0, True).entries[0]
     assert old.state is State.READY and old.started_us == NOW
-    assert roster.asked(NOW, "fresh", False, 0, True) is None  # nothing new
+    assert roster.query_ended(NOW, "fresh", False, 0, True) is None  # nothing new
 
 
 def test_a_saved_worker_that_has_drained_or_gone_is_never_offered():
     roster = Roster()
-    roster.saved(NOW, [(entry("drained"), DAY), (entry("gone"), DAY), (entry("lost"), SECOND)])
-    roster.asks(NOW)
-    assert states(roster.asked(NOW, "drained", True, 0, True)) == {"drained": State.DRAINING}
-    assert roster.asked(NOW, "gone", False, 0, False) is None
-    assert states(roster.asked(NOW, "lost", False, 0, False)) == {"lost": State.GONE}  # it had been offered
-    assert roster.asks(NOW + 1) == []  # asked again later, not at once
-    assert sorted(roster.asks(NOW + 3 * SECOND)) == ["gone", "lost"]
+    roster.add_saved(NOW, [(entry("drained"), DAY), (entry("gone"), DAY), (entry("lost"), SECOND)])
+    roster.due_queries(NOW)
+    assert states(roster.query_ended(NOW, "drained", True, 0, True)) == {"drained": State.DRAINING}
+    assert roster.query_ended(NOW, "gone", False, 0, False) is None
+    assert states(roster.query_ended(NOW, "lost", False, 0, False)) == {
+        "lost": State.GONE
+    }  # it had been offered
+    assert roster.due_queries(NOW + 1) == []  # asked again later, not at once
+    assert sorted(roster.due_queries(NOW + 3 * SECOND)) == ["gone", "lost"]
 
 
 def test_questions_are_bounded_and_paced():
     roster = Roster(170)
-    roster.saved(NOW, [(entry(f"w{n}"), DAY) for n in range(64)])
+    roster.add_saved(NOW, [(entry(f"w{n}"), DAY) for n in range(64)])
     now, asked, most = NOW, [], 0
     out = []
     while len(asked) < 64:
-        for worker in roster.asks(now):
+        for worker in roster.due_queries(now):
             asked.append((now, worker))
             out.append(worker)
         most = max(most, len(out))
         if out:
-            roster.asked(now, out.pop(0), False, 0, True)
-        now = max(now + 1_000, roster.next_us(now) or now)
-    assert most <= trust.AT_ONCE and asked[-1][0] - NOW > 2 * SECOND  # 170 gateways over 50 a second is 3.4 s
+            roster.query_ended(now, out.pop(0), False, 0, True)
+        now = max(now + 1_000, roster.next_due_us(now) or now)
+    assert (
+        most <= trust.MAX_OPEN_QUERIES and asked[-1][0] - NOW > 2 * SECOND
+    )  # 170 gateways over 50 a second is 3.4 s
 
 
 def test_a_live_list_corrects_everything_within_one_round():
     roster = Roster()
-    roster.saved(NOW, [(entry("a"), DAY), (entry("b"), DAY), (entry("c"), SECOND)])
-    roster.asks(NOW)
-    roster.asked(NOW, "a", False, 0, True)
-    told = roster.listed(NOW + SECOND, full(entry("b"), entry("d")))
+    roster.add_saved(NOW, [(entry("a"), DAY), (entry("b"), DAY), (entry("c"), SECOND)])
+    roster.due_queries(NOW)
+    roster.query_ended(NOW, "a", False, 0, True)
+    told = roster.apply_list(NOW + SECOND, full(entry("b"), entry("d")))
     assert states(told) == {
         "b": State.READY, "d": State.READY, "a": State.DRAINING, "c": State.GONE}  # fmt: skip
-    assert roster.asks(NOW + 2 * SECOND) == [] and roster.saved(NOW, [(entry("z"), SECOND)]) is None
+    assert (
+        roster.due_queries(NOW + 2 * SECOND) == [] and roster.add_saved(NOW, [(entry("z"), SECOND)]) is None
+    )
 
 
 def test_an_empty_list_is_obeyed_and_beliefs_wait_a_while():
     roster = Roster()
-    roster.listed(NOW, full(entry("a"), entry("b")))
-    assert set(states(roster.listed(NOW + 1, full())).values()) == {State.DRAINING}
-    assert roster.step(NOW + SECOND) is None
-    back = roster.listed(NOW + SECOND, full(entry("a")))
+    roster.apply_list(NOW, full(entry("a"), entry("b")))
+    assert set(states(roster.apply_list(NOW + 1, full())).values()) == {State.DRAINING}
+    assert roster.expire_unlisted(NOW + SECOND) is None
+    back = roster.apply_list(NOW + SECOND, full(entry("a")))
     assert states(back) == {"a": State.READY}
-    assert states(roster.step(NOW + trust.LINGER_US + 1)) == {"b": State.GONE}
+    assert states(roster.expire_unlisted(NOW + trust.UNLISTED_RETENTION_US + 1)) == {"b": State.GONE}
     assert list(roster.known) == ["a"]
 
 
 def test_a_worker_that_says_it_drains_overrules_a_late_list_until_it_is_another_process():
     roster = Roster()
-    roster.listed(NOW, full(entry("a", started=5)))
-    assert states(roster.said(NOW, "a", draining=True)) == {"a": State.DRAINING}
-    assert states(roster.listed(NOW, full(entry("a", started=5)))) == {"a": State.DRAINING}
-    assert states(roster.listed(NOW, full(entry("a", started=9)))) == {"a": State.READY}
+    roster.apply_list(NOW, full(entry("a", started=5)))
+    assert states(roster.record_report(NOW, "a", draining=True)) == {"a": State.DRAINING}
+    assert states(roster.apply_list(NOW, full(entry("a", started=5)))) == {"a": State.DRAINING}
+    assert states(roster.apply_list(NOW, full(entry("a", started=9)))) == {"a": State.READY}
 
 
 def test_another_process_at_the_same_address_is_seen_before_the_list_knows():
     roster = Roster()
-    roster.listed(NOW, full(entry("a", started=10 * SECOND)))
-    assert roster.said(NOW, "a", started_us=10 * SECOND + 300) is None  # two words for one start
-    fresh = roster.said(NOW, "a", started_us=400 * SECOND).entries[0]
+    roster.apply_list(NOW, full(entry("a", started=10 * SECOND)))
+    assert roster.record_report(NOW, "a", started_us=10 * SECOND + 300) is None  # two words for one start
+    fresh = roster.record_report(NOW, "a", started_us=400 * SECOND).entries[0]
     assert fresh.started_us == 400 * SECOND
-    late = roster.listed(NOW, full(entry("a", started=10 * SECOND)))
+    late = roster.apply_list(NOW, full(entry("a", started=10 * SECOND)))
     assert late.entries[0].started_us == 400 * SECOND
-    known = roster.listed(NOW, full(entry("a", started=400 * SECOND + 500)))
+    known = roster.apply_list(NOW, full(entry("a", started=400 * SECOND + 500)))
     assert known.entries[0].started_us == 400 * SECOND  # the same process: its warm copies are not forgotten
-    newer = roster.listed(NOW, full(entry("a", started=450 * SECOND)))
+    newer = roster.apply_list(NOW, full(entry("a", started=450 * SECOND)))
     assert newer.entries[0].started_us == 450 * SECOND
 
 
 def test_a_process_without_a_listed_start_is_known_by_its_own_word():
     roster = Roster()
-    roster.listed(NOW, full(entry("a")))
-    assert roster.said(NOW, "a", started_us=100 * SECOND) is None
-    assert roster.said(NOW, "a", started_us=300 * SECOND).entries[0].started_us == 300 * SECOND
-    assert roster.listed(NOW, full(entry("a"))).entries[0].started_us == 300 * SECOND
+    roster.apply_list(NOW, full(entry("a")))
+    assert roster.record_report(NOW, "a", started_us=100 * SECOND) is None
+    assert roster.record_report(NOW, "a", started_us=300 * SECOND).entries[0].started_us == 300 * SECOND
+    assert roster.apply_list(NOW, full(entry("a"))).entries[0].started_us == 300 * SECOND
 
 
 @given(st.data())
@@ -279,20 +295,24 @@
         match data.draw(st.integers(0, 5)):
             case 0:
                 one = {e.worker: e for e in data.draw(st.lists(entries, max_size=4))}
-                take(roster.listed(now, full(*one.values())))
+                take(roster.apply_list(now, full(*one.values())))
             case 1:
                 ages = st.sampled_from([SECOND, HOUR, DAY, None])
-                take(roster.saved(now, data.draw(st.lists(st.tuples(entries, ages), max_size=4))))
+                take(roster.add_saved(now, data.draw(st.lists(st.tuples(entries, ages), max_size=4))))
             case 2:
                 start = data.draw(st.sampled_from([0, 10**8, 4 * 10**8]))
                 drains, heard = data.draw(st.booleans()), data.draw(st.booleans())
-                take(roster.said(now, data.draw(names), drains and heard, start if heard else 0, heard))
+                take(
+                    roster.record_report(
+                        now, data.draw(names), drains and heard, start if heard else 0, heard
+                    )
+                )
             case 3:
-                roster.asks(now)
+                roster.due_queries(now)
             case 4:
-                take(roster.asked(now, data.draw(names), False, 0, data.draw(st.booleans())))
+                take(roster.query_ended(now, data.draw(names), False, 0, data.draw(st.booleans())))
             case 5:
-                take(roster.step(now))
+                take(roster.expire_unlisted(now))
         assert view == {e.worker: e for e in roster.entries()}
 
 
@@ -358,7 +378,7 @@
         tmp_path / "file" / "list", Clock(), roster, lambda *a, **k: lines.append(a), posts.append
     )
     (tmp_path / "file").write_text("")
-    roster.listed(Clock.now_us(), full(entry("a")))
+    roster.apply_list(Clock.now_us(), full(entry("a")))
     for _ in range(3):
         keeper._saved_us = 0
         keeper.look(Clock.now_us())
@@ -382,16 +402,16 @@
             posts.pop()()
         return len(saved.read(tmp_path).saved.workers)
 
-    roster.listed(Clock.now_us(), full(*(entry(f"w{n}") for n in range(10))))
+    roster.apply_list(Clock.now_us(), full(*(entry(f"w{n}") for n in range(10))))
     assert save() == 10
-    roster.listed(Clock.now_us(), full(entry("w0")))
+    roster.apply_list(Clock.now_us(), full(entry("w0")))
     assert save() == 10
-    roster.listed(Clock.now_us(), full())
+    roster.apply_list(Clock.now_us(), full())
     assert save() == 10
-    roster.size_since = -trust.COLLAPSE_US  # it has held for ten minutes
+    roster.size_since = -trust.COLLAPSE_CONFIRM_US  # it has held for ten minutes
     assert save() == 10  # empty never does
-    roster.listed(Clock.now_us(), full(entry("w0")))
-    roster.size_since = -trust.COLLAPSE_US
+    roster.apply_list(Clock.now_us(), full(entry("w0")))
+    roster.size_since = -trust.COLLAPSE_CONFIRM_US
     assert save() == 1
     keeper.close()
 
