--- a/swiftwell/cli/lists.py
+++ b/swiftwell/cli/lists.py
@@ -12,7 +12,7 @@
 
 from swiftwell.cli.reading import or_exit
 from swiftwell.discovery import saved, trust
-from swiftwell.discovery.entries import from_file
+from swiftwell.discovery.entries import parse_worker_file
 from swiftwell.interface import State
 
 
@@ -30,7 +30,7 @@
     if path.is_file():
         try:
             return saved.decode(path.read_bytes(), str(path)), str(path)
-        except saved.Unusable as error:
+        except saved.UnusableFile as error:
             click.echo(str(error), err=True)
             sys.exit(1)
     folder = path / "list" if (path / "list").is_dir() else path
@@ -90,13 +90,15 @@
 def verify(path: Path) -> None:
     """Check both generations; exit 0 only if every file that is there can be used."""
     folder = path / "list" if (path / "list").is_dir() else path
-    files = [path] if path.is_file() else [folder / name for name in saved.NAMES if (folder / name).exists()]
+    files = (
+        [path] if path.is_file() else [folder / name for name in saved.FILE_NAMES if (folder / name).exists()]
+    )
     bad = not files
     for file in files:
         try:
             told = saved.decode(file.read_bytes(), str(file))
             click.echo(f"{file}: good, {len(told.workers)} workers, epoch {told.epoch}")
-        except (saved.Unusable, OSError) as error:
+        except (saved.UnusableFile, OSError) as error:
             bad = True
             click.echo(str(error), err=True)
     if not files:
@@ -112,7 +114,7 @@
 
     Its entries count as last listed now; the gateway must not be running.
     """
-    entries = or_exit(lambda: from_file(workers.read_text(encoding="utf-8"), str(workers), int))
+    entries = or_exit(lambda: parse_worker_file(workers.read_text(encoding="utf-8"), str(workers), int))
     wall, mono, boot = time.time_ns() // 1_000, time.monotonic_ns() // 1_000, saved.boot_id()
     kept = tuple(
         saved.SavedWorker(
--- a/swiftwell/discovery/saved.py
+++ b/swiftwell/discovery/saved.py
@@ -1,8 +1,8 @@
-"""The saved list on disk: two generations, checksummed and versioned, written so that a kill at any step
-leaves one.
+"""File format of the saved worker list: two generations with a version and a checksum.
 
-A file is `SWLIST` + version(2) + length(4) + xxh3_64(8) + msgpack.  `current` is written beside as
-`current.part` and synced; then `current` becomes `previous`, and the part `current`.
+A file is `SWLIST` + version(2) + length(4) + xxh3_64(8) + msgpack.  A new list is written to `current.part`
+and synced; then `current` is renamed to `previous` and `current.part` to `current`, so that one list is left
+if the process is killed at any step.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 import xxhash
 
 MAGIC, VERSION = b"SWLIST", 1
-HEAD = struct.Struct(">6sHIQ")
-MOST = 64 << 20  # bytes of a file that may be read: ten thousand workers take one or two
-NAMES = ("current", "previous")
+HEADER = struct.Struct(">6sHIQ")
+MAX_FILE_BYTES = 64 << 20  # ten thousand workers take one or two MB
+FILE_NAMES = ("current", "previous")
 
 
 class SavedWorker(msgspec.Struct, frozen=True):
-    """One worker of a saved list.  Times are wall-clock us; 0 is never or untold."""
+    """One worker of a saved list.  Times are Unix us; 0 is never or unknown."""
 
     worker: str
     kind: str = ""
@@ -36,10 +36,10 @@
 
 
 class SavedList(msgspec.Struct, frozen=True):
-    """A list with what tells its age.
+    """A list with what its age is computed from.
 
-    `epoch` is the list service's index; `wall_us` and `mono_us` are both of the moment of saving, `boot`
-    names the machine's run that `mono_us` belongs to.
+    `epoch` is the list service's index; `wall_us` and `mono_us` are the times of both clocks when the list
+    was saved; `boot` is the machine's boot ID, as `mono_us` holds for one boot only.
     """
 
     epoch: int
@@ -49,13 +49,13 @@
     workers: tuple[SavedWorker, ...]
 
 
-class Unusable(Exception):
-    """A file that can't be used; the text names it and says why."""
+class UnusableFile(Exception):
+    """A file that can't be used; the message names it and says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What reading brought: the list, the file it came from, and what was wrong with files before it."""
+class ReadResult:
+    """The list that was read, its file, and what was wrong with the files tried before it."""
 
     saved: SavedList | None
     file: str
@@ -63,7 +63,7 @@
 
 
 def boot_id() -> str:
-    """The name of this run of the machine; "" where it tells none."""
+    """The boot ID of this machine; "" if it has none."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -71,76 +71,76 @@
 
 
 def encode(saved: SavedList, version: int = VERSION) -> bytes:
-    """A list as it lies on disk."""
+    """Encodes a list as a file's bytes."""
     body = msgspec.msgpack.encode(saved)
-    return HEAD.pack(MAGIC, version, len(body), xxhash.xxh3_64_intdigest(body)) + body
+    return HEADER.pack(MAGIC, version, len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
 def decode(raw: bytes, file: str) -> SavedList:
-    """A file's bytes as a list; raises Unusable.  A newer version is told apart from damage."""
-    if len(raw) < HEAD.size:
-        raise Unusable(f"{file}: cut short, {len(raw)} bytes")
-    magic, version, length, digest = HEAD.unpack_from(raw)
+    """Decodes a file's bytes; raises UnusableFile, with a text of its own for a newer version."""
+    if len(raw) < HEADER.size:
+        raise UnusableFile(f"{file}: cut short, {len(raw)} bytes")
+    magic, version, length, digest = HEADER.unpack_from(raw)
     if magic != MAGIC:
-        raise Unusable(f"{file}: not a saved list")
+        raise UnusableFile(f"{file}: not a saved list")
     if version > VERSION:
-        raise Unusable(f"{file}: of a newer version, {version}; this program reads up to {VERSION}")
-    body = raw[HEAD.size :]
+        raise UnusableFile(f"{file}: of a newer version, {version}; this program reads up to {VERSION}")
+    body = raw[HEADER.size :]
     if len(body) < length:
-        raise Unusable(f"{file}: cut short, {len(body)} of {length} bytes")
+        raise UnusableFile(f"{file}: cut short, {len(body)} of {length} bytes")
     if xxhash.xxh3_64_intdigest(body[:length]) != digest:
-        raise Unusable(f"{file}: damaged, its checksum is wrong")
+        raise UnusableFile(f"{file}: damaged, its checksum is wrong")
     try:
         return msgspec.msgpack.decode(body[:length], type=SavedList)
     except msgspec.DecodeError as error:
-        raise Unusable(f"{file}: damaged, {error}") from None
+        raise UnusableFile(f"{file}: damaged, {error}") from None
 
 
-def read(folder: Path) -> Found:
-    """The newest list that can be used, `current` before `previous`."""
+def read(folder: Path) -> ReadResult:
+    """Reads the newest list that can be used: `current`, else `previous`."""
     problems = []
-    for name in NAMES:
+    for name in FILE_NAMES:
         path = folder / name
         try:
-            if path.stat().st_size > MOST:
-                raise Unusable(f"{path}: larger than {MOST} bytes")
-            return Found(decode(path.read_bytes(), str(path)), str(path), tuple(problems))
+            if path.stat().st_size > MAX_FILE_BYTES:
+                raise UnusableFile(f"{path}: larger than {MAX_FILE_BYTES} bytes")
+            return ReadResult(decode(path.read_bytes(), str(path)), str(path), tuple(problems))
         except FileNotFoundError:
             continue
         except OSError as error:
             problems.append(f"{path}: {error.strerror}")
-        except Unusable as error:
+        except UnusableFile as error:
             problems.append(str(error))
-    return Found(None, "", tuple(problems))
+    return ReadResult(None, "", tuple(problems))
 
 
 def write(folder: Path, saved: SavedList) -> None:
-    """Write a list; raises OSError, after which what was there before still is.
+    """Writes a list; raises OSError, which leaves the earlier files in place.
 
-    A `current` that this program can't read because it is newer is set aside, not overwritten: after a roll
-    back and forward again it is still there.
+    A `current` of a newer version is renamed to `newer` rather than to `previous`, so that it is still there
+    when a rollback to this version is itself undone.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    current, part = folder / NAMES[0], folder / "current.part"
-    fd = os.open(part, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, 0o600)
+    current, new = folder / FILE_NAMES[0], folder / "current.part"
+    fd = os.open(new, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, 0o600)
     try:
-        view = memoryview(encode(saved))
-        while view:
-            view = view[os.write(fd, view) :]
+        remaining = memoryview(encode(saved))
+        while remaining:
+            remaining = remaining[os.write(fd, remaining) :]
         os.fsync(fd)
     finally:
         os.close(fd)
-    _step("written")
+    _crash_point("written")
     with contextlib.suppress(FileNotFoundError):
-        newer = False
+        is_newer = False
         try:
             decode(current.read_bytes(), "")
-        except Unusable as error:
-            newer = "newer version" in str(error)
-        os.rename(current, folder / ("newer" if newer else NAMES[1]))
-    _step("moved")
-    os.rename(part, current)
-    _step("renamed")
+        except UnusableFile as error:
+            is_newer = "newer version" in str(error)
+        os.rename(current, folder / ("newer" if is_newer else FILE_NAMES[1]))
+    _crash_point("moved")
+    os.rename(new, current)
+    _crash_point("renamed")
     fd = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(fd)
@@ -148,18 +148,18 @@
         os.close(fd)
 
 
-def _step(name: str) -> None:
-    """A place where a test may end the process."""
+def _crash_point(name: str) -> None:
+    """Does nothing; a test replaces it to kill the process at this step."""
 
 
-def age_us(saved: SavedList, word_us: int, wall_us: int, mono_us: int, boot: str) -> int | None:
-    """The age of a word of a saved list; None where it can't be known.
+def age_us(saved: SavedList, reported_us: int, wall_us: int, mono_us: int, boot: str) -> int | None:
+    """The age of a report of a saved list, made at `reported_us`; None if it can't be known.
 
-    Within one run of the machine the steady clock tells how long ago the list was saved, whatever was done
-    to the wall clock meanwhile.  Else the wall clock does; a list from the future means that it was set
-    back, by how much nobody can tell.
+    Within one boot of the machine the monotonic clock gives the time since the list was saved, even if the
+    wall clock was changed meanwhile.  Otherwise the wall clock gives it; if the list lies in the future, the
+    clock was set back by an unknown time.
     """
-    since = mono_us - saved.mono_us if boot and boot == saved.boot else wall_us - saved.wall_us
-    if since < 0 or not word_us:
+    since_saved_us = mono_us - saved.mono_us if boot and boot == saved.boot else wall_us - saved.wall_us
+    if since_saved_us < 0 or not reported_us:
         return None
-    return since + max(0, saved.wall_us - word_us)
+    return since_saved_us + max(0, saved.wall_us - reported_us)
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -27,7 +27,7 @@
 
 from swiftwell import interface as io
 from swiftwell.discovery import sources
-from swiftwell.discovery.keeper import Keeper
+from swiftwell.discovery.saved_list_store import SavedListStore
 from swiftwell.fleet.drill import Drill
 from swiftwell.fleet.link import FleetLink, key_of
 from swiftwell.fleet.node import FleetSettings
@@ -93,8 +93,8 @@
         self.link = Link(site.name, bounds, self._from_workers, self.log, self.clock.started_us)
         if w.worker_connections and site.fleet:  # no loan yet
             self.link.allow(w.worker_connections * Share("", len(site.fleet.member)).own // MILLION)
-        self.keeper: Keeper | None = None
-        self._service: sources.ListService | None = None
+        self.keeper: SavedListStore | None = None
+        self._service: sources.ListServiceClient | None = None
         self._lock = -1
         self.books = Books(Path(site.state), self.log, self._loop.add_callback)
         self.resting: list[IOStream] = []
@@ -296,7 +296,7 @@
         told = self._listed
         if workers.list:
             told_saved = lambda entries: self.enqueue(ports.Saved(entries))  # noqa: E731
-            self._service = sources.ListService(
+            self._service = sources.ListServiceClient(
                 workers.list.servers,
                 workers.list.service,
                 workers.list.wait_s,
@@ -310,7 +310,9 @@
             )
             if workers.list.save:
                 folder = Path(self.site.state) / "list"
-                self.keeper = Keeper(folder, self.clock, self.engine.list, self.log, self._loop.add_callback)
+                self.keeper = SavedListStore(
+                    folder, self.clock, self.engine.list, self.log, self._loop.add_callback
+                )
                 if fresh and (entries := self.keeper.load()):
                     told_saved(entries)
             if not (self.site.fleet and self.site.fleet.one_reader):
@@ -319,7 +321,7 @@
             watching = sources.watch_file(Path(workers.file), self.clock.started_us, told, self.log)
             self._tasks.append(asyncio.ensure_future(watching))
         else:
-            told(sources.static(workers))
+            told(sources.static_list(workers))
 
     def _listed(self, members: io.Members) -> None:
         """A list from its source; with a reader for the zone it is told to the others as well."""
@@ -491,11 +493,11 @@
         """What this gateway knows of workers, with the age of its live list, for one that starts without
         any."""
         assert self._service
-        if not self._service.heard_at:
+        if not self._service.last_response_s:
             return Response(503, {}, b"no live list since the start\n")
-        age_ms = max(0, int((time.monotonic() - self._service.heard_at) * 1e3))
+        age_ms = max(0, int((time.monotonic() - self._service.last_response_s) * 1e3))
         shown = [
-            sources.instance(one.entry, self.clock.wall_of(one.entry.started_us))
+            sources.service_instance(one.entry, self.clock.wall_of(one.entry.started_us))
             for one in self.engine.list.known.values()
             if not one.left_us
         ]
@@ -521,7 +523,7 @@
         )
         if self.keeper and self._service:
             self.keeper.epoch = self._service.index
-            self.keeper.look(int(self._service.heard_at * 1e6))
+            self.keeper.save_if_due(int(self._service.last_response_s * 1e6))
 
     async def stop(self) -> None:
         """Take nothing new, let calls in flight end, answer what is left, close."""
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -127,7 +127,7 @@
         for worker in self.addresses.apply(event):
             self._leases.forget(worker)
             self.link.gone(worker)
-        members = self._start_times.members(event, self.clock.now_us(), at_our_start=self._starting)
+        members = self._start_times.to_members(event, self.clock.now_us(), at_our_start=self._starting)
         if not event.is_full_list:
             self._log_changes(event)
         self.enqueue(ports.Listed(members))
--- a/swiftwell/starting/follow.py
+++ b/swiftwell/starting/follow.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from swiftwell import interface as io
-from swiftwell.discovery.sources import ListService
+from swiftwell.discovery.sources import ListServiceClient
 from swiftwell.fleet.link import FleetLink
 from swiftwell.fronts.host import Backoff
 from swiftwell.gateway.clock import Clock
@@ -87,7 +87,7 @@
         self.zone = ZoneList(link.node, board, rate, link.now_us())
         self._session: asyncio.Task[None] | None = None
         self._rest_until = 0.0
-        self.service: ListService | None = None
+        self.service: ListServiceClient | None = None
 
     def told(self, members: io.Members) -> None:
         """The service's list, read by us: for ourselves at once, and for the others."""
@@ -126,7 +126,7 @@
         if what.rows is not None:
             self._tell(io.Members(io.ListKind.FULL, entries(what.rows, self._clock.started_us)))
         if what.fresh:
-            service.heard_at = time.monotonic()  # for the saved list, and for peers that ask
+            service.last_response_s = time.monotonic()  # for the saved list, and for peers that ask
         if what.gave_way:
             self._log("info", "list-reader", reading=False, lease=False)
         if what.stop:
@@ -135,11 +135,11 @@
             self.zone.reading.asked(now)
             self._session = asyncio.ensure_future(self._read(service, what.ask))
 
-    async def _read(self, service: ListService, what: Ask) -> None:
+    async def _read(self, service: ListServiceClient, what: Ask) -> None:
         began = time.monotonic()
-        service.anew()
+        service.reset_index()
         try:
-            await service.session()
+            await service.run_session()
         except (Unreachable, SettingsError) as error:
             wait = 0.0
             if what is Ask.ALONE or self.zone.reading.reader:
@@ -147,7 +147,7 @@
                 wait = self._backoff.wait_s()
                 self._rest_until = time.monotonic() + wait
             self.zone.reading.lost()
-            service.lost(error, wait)
+            service.log_failure(error, wait)
 
     def _stop(self) -> None:
         if self._session:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,9 +19,9 @@
 from swiftwell import interface as io
 from swiftwell.cli.main import main
 from swiftwell.discovery import saved, trust
-from swiftwell.discovery.keeper import Keeper
 from swiftwell.discovery.roster import Roster
-from swiftwell.discovery.sources import ListService
+from swiftwell.discovery.saved_list_store import SavedListStore
+from swiftwell.discovery.sources import ListServiceClient
 from swiftwell.gateway import ports
 from swiftwell.gateway.clock import Clock
 from swiftwell.gateway.engine import tables
@@ -52,7 +52,7 @@
 
 
 def test_a_list_comes_back_and_the_one_before_is_kept(tmp_path):
-    assert saved.read(tmp_path) == saved.Found(None, "", ())
+    assert saved.read(tmp_path) == saved.ReadResult(None, "", ())
     saved.write(tmp_path, a_list(1))
     saved.write(tmp_path, a_list(2))
     assert saved.read(tmp_path).saved == a_list(2)
@@ -67,7 +67,7 @@
     for damaged in (bytes(raw), bytes(raw[: at % len(raw)]), noise):
         try:
             assert saved.decode(damaged, "f") == a_list()
-        except saved.Unusable as error:
+        except saved.UnusableFile as error:
             assert str(error).startswith("f: ")
 
 
@@ -91,7 +91,7 @@
     saved.write(tmp_path, a_list(3))
     assert saved.read(tmp_path).saved == a_list(3)
     if word == "newer version":  # kept for the version that can read it
-        assert saved.HEAD.unpack_from((tmp_path / "newer").read_bytes())[1] == 9
+        assert saved.HEADER.unpack_from((tmp_path / "newer").read_bytes())[1] == 9
 
 
 KILLED = """
@@ -101,7 +101,7 @@
 def step(name):
     if name == sys.argv[2]:
         os.kill(os.getpid(), signal.SIGKILL)
-saved._step = step
+saved._crash_point = step
 write = os.write
 if sys.argv[2] == "half":
     def half(fd, data):
@@ -368,36 +368,36 @@
         assert sizes[-1][name] <= max(size[name] for size in sizes[:3]) + 5, name
 
 
-# The keeper and the client of list services.
+# The store and the client of list services.
 
 
 def test_a_list_that_cannot_be_written_is_told_once_and_survived(tmp_path):
     lines, posts = [], []
     roster = Roster()
-    keeper = Keeper(
+    store = SavedListStore(
         tmp_path / "file" / "list", Clock(), roster, lambda *a, **k: lines.append(a), posts.append
     )
     (tmp_path / "file").write_text("")
     roster.apply_list(Clock.now_us(), full(entry("a")))
     for _ in range(3):
-        keeper._saved_us = 0
-        keeper.look(Clock.now_us())
-        keeper._pool.submit(lambda: None).result()
+        store._saved_us = 0
+        store.save_if_due(Clock.now_us())
+        store._pool.submit(lambda: None).result()
         while posts:
             posts.pop()()
-    keeper.close()
+    store.close()
     assert [line[1] for line in lines] == ["saved-list-not-written"]
 
 
 def test_a_collapsed_list_does_not_replace_the_saved_one(tmp_path):
     posts = []
     roster = Roster()
-    keeper = Keeper(tmp_path, Clock(), roster, lambda *a, **k: None, posts.append)
+    store = SavedListStore(tmp_path, Clock(), roster, lambda *a, **k: None, posts.append)
 
     def save():
-        keeper._saved_us = 0
-        keeper.look(Clock.now_us())
-        keeper._pool.submit(lambda: None).result()
+        store._saved_us = 0
+        store.save_if_due(Clock.now_us())
+        store._pool.submit(lambda: None).result()
         while posts:
             posts.pop()()
         return len(saved.read(tmp_path).saved.workers)
@@ -413,7 +413,7 @@
     roster.apply_list(Clock.now_us(), full(entry("w0")))
     roster.size_since = -trust.COLLAPSE_CONFIRM_US
     assert save() == 1
-    keeper.close()
+    store.close()
 
 
 FAULTS = ["down", "hang", "cut", "empty", "half", "back", "malformed", "slow"]
@@ -427,7 +427,7 @@
         for number in range(6):
             listing.put(f"127.0.0.1:{1_000 + number}", now=True, started_ms=0)
         seen, lines = [], []
-        service = ListService(
+        service = ListServiceClient(
             (f"127.0.0.1:{port}",), "calc", 1, "gw", lambda ms: int(ms), seen.append,
             lambda *a, **k: lines.append((a, k)), random.Random(1),
         )  # fmt: skip
@@ -502,7 +502,7 @@
         port = listing.start()
         listing.put("127.0.0.1:1000", now=True, started_ms=0)
         seen = []
-        service = ListService(
+        service = ListServiceClient(
             ("127.0.0.1:9", f"127.0.0.1:{port}"), "calc", 1, "gw", int, seen.append, lambda *a, **k: None,
             random.Random(1),
         )  # fmt: skip
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from swiftwell.cli.main import main
-from swiftwell.discovery.entries import from_file, from_service
+from swiftwell.discovery.entries import parse_instances, parse_worker_file
 from swiftwell.interface import State
 from swiftwell.proof import days
 from swiftwell.settings import schema, site
@@ -131,23 +131,23 @@
 
 def test_a_file_of_workers():
     text = 'worker "127.0.0.1:1" kind="k" state="draining" started-ms=5.0\nworker "127.0.0.1:2"\n'
-    one, two = from_file(text, "w.kdl", lambda ms: int(ms * 1_000))
+    one, two = parse_worker_file(text, "w.kdl", lambda ms: int(ms * 1_000))
     assert (one.state, one.started_us, one.kind) == (State.DRAINING, 5_000, "k") and two.state is State.READY
     with pytest.raises(SettingsError, match=r"w.kdl:2.*given twice"):
-        from_file('worker "a:1"\nworker "a:1"\n', "w.kdl", int)
+        parse_worker_file('worker "a:1"\nworker "a:1"\n', "w.kdl", int)
 
 
 def test_an_answer_of_the_list_service_with_malformed_entries_keeps_the_others():
     good = b'{"Service":{"Address":"127.0.0.1","Port":9,"Meta":{"kind":"k","started_ms":"2.0"}},"Checks":[]}'
     drains = b'{"Service":{"Address":"127.0.0.1","Port":8,"Meta":{}},"Checks":[{"Status":"critical"}]}'
     odd = b'{"Service":{"Address":"127.0.0.1","Port":0}}'
-    entries, bad = from_service(b"[" + b",".join([good, drains, odd, b"5"]) + b"]", lambda ms: int(ms))
+    entries, bad = parse_instances(b"[" + b",".join([good, drains, odd, b"5"]) + b"]", lambda ms: int(ms))
     assert [(e.worker, e.state, e.started_us) for e in entries] == [
         ("127.0.0.1:9", State.READY, 2), ("127.0.0.1:8", State.DRAINING, 0)]  # fmt: skip
     assert len(bad) == 2
     for broken in (b"", b"{}", b"[", b"\xff"):
         with pytest.raises(SettingsError):
-            from_service(broken, int)
+            parse_instances(broken, int)
 
 
 def test_an_amqp_broker_is_checked_as_a_whole():
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -248,9 +248,9 @@
 
 def test_stored_lists_of_workers_give_the_same_entries():
     expected = stored_json("entries.json")
-    found = entries.from_file(stored("workers.kdl").decode(), "workers.kdl", lambda ms: int(ms * 10))
+    found = entries.parse_worker_file(stored("workers.kdl").decode(), "workers.kdl", lambda ms: int(ms * 10))
     assert outer(found) == expected["file"]
-    found, problems = entries.from_service(stored("service.json"), lambda ms: int(ms * 10))
+    found, problems = entries.parse_instances(stored("service.json"), lambda ms: int(ms * 10))
     assert outer(found) == expected["service"] and not problems
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,7 +17,7 @@
 
 def listed(event, times, now_us=50_000_000_000, **more):
     """The start of each worker by an event."""
-    return {entry.worker: entry.started_us for entry in times.members(event, now_us, **more).entries}
+    return {entry.worker: entry.started_us for entry in times.to_members(event, now_us, **more).entries}
 
 
 def worker(id_, since_ms, state=io.State.READY):
