--- a/swiftwell/platform/__init__.py
+++ b/swiftwell/platform/__init__.py
@@ -1,1 +1,3 @@
-"""The router as the platform runs it: the same engine, module, clock and turn, with the platform's ends."""
+"""Runs the router on the platform: the same engine, decisions, clock and event loop, with the platform's
+protocols.
+"""
--- a/swiftwell/platform/limits.py
+++ b/swiftwell/platform/limits.py
@@ -1,27 +1,27 @@
-"""How the descriptors of a process are divided.  No I/O."""
+"""How a process's file descriptors are divided.  No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OWN = 24  # descriptors of the process itself: standard ones, loop, listener, journal service, some to spare
-CLIENTS = 3  # clients hold at most one descriptor in so many: the platform's word
+RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, journal service, and some to spare
+CLIENT_DIVISOR = 3  # the platform promises that clients hold at most one descriptor in so many
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
-    """Connections of clients and to workers."""
+class ConnectionLimits:
+    """Limits for connections from clients and to workers."""
 
     clients: int
     workers: int
 
 
-def divide(sockets: int) -> Share:
-    """Clients get the third that the platform grants and half of what is left for those who misbehave.
+def divide_descriptors(descriptors: int) -> ConnectionLimits:
+    """Gives clients the third that the platform promises, and half of the rest for clients that exceed it.
 
-    >>> divide(1_024)
-    Share(clients=670, workers=330)
+    >>> divide_descriptors(1_024)
+    ConnectionLimits(clients=670, workers=330)
     """
-    granted = sockets // CLIENTS
-    left = max(2, sockets - OWN - granted)
-    return Share(granted + left // 2, left - left // 2)
+    promised = descriptors // CLIENT_DIVISOR
+    remaining = max(2, descriptors - RESERVED_DESCRIPTORS - promised)
+    return ConnectionLimits(promised + remaining // 2, remaining - remaining // 2)
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -1,4 +1,4 @@
-"""One router on the platform: joins the FastCGI front, the engine, the RESP link and the journal service."""
+"""A router process on the platform: connects the FastCGI front, engine, RESP link and journal client."""
 
 from __future__ import annotations
 
@@ -25,43 +25,47 @@
 from swiftwell.gateway.event_loop import BatchingLoop
 from swiftwell.gateway.logs import Logs
 from swiftwell.gateway.loop_lag import TICK_S, LoopLag
-from swiftwell.platform.limits import divide
+from swiftwell.platform.limits import divide_descriptors
 from swiftwell.platform.reload import ConfigurationReload
 from swiftwell.platform.shutdown import ShutdownSchedule
-from swiftwell.platform.startup import opened, started
+from swiftwell.platform.startup import retry, retry_blocking
 from swiftwell.settings import platform as config
 from swiftwell.settings.platform import ConfigError, Platform
 from swiftwell.workers.resp.link import ORDER_S, RespBounds, RespLink
 
-MARGIN_US = 5_000  # us kept back of each request's time for the answer's way to the client
-QUIET_S = 0.005  # s between looks at what a stopping router owes; it ends once two in a row find nothing
-LOOK_ITERATIONS = 4  # of the loop, from a look at the sockets to its end: read, wake the reader, step, flush
-SWEEP_S = 0.5  # s between looks at old connections and orders
-FIGURES_S = 5.0  # s between two lines of figures
+ANSWER_MARGIN_US = 5_000  # of each request's time, kept for the answer's way to the client
+DRAIN_POLL_INTERVAL_S = 0.005  # between checks for open calls; two in a row that find none end a shutdown
+READ_ITERATIONS = 4  # of the event loop, to take in all that waits: read, wake the reader, step, flush
+SWEEP_INTERVAL_S = 0.5  # between checks for idle connections and overdue orders
+FIGURES_INTERVAL_S = 5.0  # between two log lines of figures
 
 
 class Node(BatchingLoop):
-    """A running router."""
+    """A running router.  `began_us` is when the process began, monotonic us."""
 
     def __init__(self, platform: Platform, file: str, logs: Logs, began_us: int | None = None) -> None:
         settings = platform.settings
         super().__init__(logs, {band.name: band.effect for band in settings.classes})
         self.platform = platform
-        self._reload = ConfigurationReload(file, self._reconfigured, self._kept_configuration, self.log)
+        self._reload = ConfigurationReload(file, self._apply_configuration, self._reload_failed, self.log)
         self._staleness = ListStaleness(self.clock.now_us() if began_us is None else began_us)
         self._leases = leases = WorkerLeases(self._staleness, settings.drain_grace_us)
-        bound = {"margin_us": MARGIN_US, "max_open": platform.most_open}
-        self.engine = Engine(settings, None, seed=platform.seed, leases=leases, **bound)
-        share = divide(platform.sockets)
+        bounds = {"margin_us": ANSWER_MARGIN_US, "max_open": platform.max_open}
+        self.engine = Engine(settings, None, seed=platform.seed, leases=leases, **bounds)
+        limits = divide_descriptors(platform.descriptors)
         self.addresses = journal.WorkerAddresses()
-        self._start_times, self._starting = StartTimes(self.clock.started_us), True
-        # No order is forgotten before the engine stops waiting: loads may take longer than the link's bound.
+        self._start_times, self._at_our_start = StartTimes(self.clock.started_us), True
+        # The link must not drop a load order before the engine does: loads may take longer than `ORDER_S`.
         order_s = max(ORDER_S, settings.order_timeout_us / 1e6)
-        bounds = RespBounds(
-            share.workers, platform.streams, platform.dial_us / 1e6, platform.idle_us / 1e6, order_s
+        link_bounds = RespBounds(
+            limits.workers,
+            platform.streams_per_connection,
+            platform.connect_timeout_us / 1e6,
+            platform.idle_timeout_us / 1e6,
+            order_s,
         )
         self.link = RespLink(
-            bounds,
+            link_bounds,
             self.addresses.get,
             self.enqueue,
             self.log,
@@ -73,45 +77,51 @@
         )
         contract = Contract.of(settings)
         self._loop_lag = LoopLag(time.monotonic())
-        self.front = Listener(self, contract, share.clients, lambda: self.healthy, self._unseen_s)
-        frames = lambda: journal.FrameDecoder(platform.zones, platform.kinds)  # noqa: E731
-        chance, staleness = random.Random(platform.seed), self._staleness
+        self.front = Listener(self, contract, limits.clients, lambda: self.healthy, self._unseen_s)
+        new_decoder = lambda: journal.FrameDecoder(platform.zones, platform.kinds)  # noqa: E731
+        random_, staleness = random.Random(platform.seed), self._staleness
         self.journal = journal.JournalClient(
-            platform.journal, frames, self._listed, self.log, chance, staleness, self._seen_us
+            platform.journal_address,
+            new_decoder,
+            self._apply_event,
+            self.log,
+            random_,
+            staleness,
+            self._read_until_us,
         )
         self.ended = asyncio.Event()
         self.stopping = False
         self._tasks: list[asyncio.Task] = []
-        self._looking = False  # a hand-over to the workers waits for a look at the clients
-        self._ticks = [
-            PeriodicCallback(self._sweep, SWEEP_S * 1_000),
-            PeriodicCallback(self._lag, TICK_S * 1_000),
-            PeriodicCallback(self._figures, FIGURES_S * 1_000),
+        self._flush_pending = False  # attempts wait until the clients' sockets have been read
+        self._timers = [
+            PeriodicCallback(self._sweep, SWEEP_INTERVAL_S * 1_000),
+            PeriodicCallback(self._tick_lag, TICK_S * 1_000),
+            PeriodicCallback(self._log_figures, FIGURES_INTERVAL_S * 1_000),
         ]
 
     @property
     def healthy(self) -> bool:
-        """Whether requests can be served: workers are known and nothing ends."""
+        """Whether requests can be served: some workers are known, and the router is not stopping."""
         return not self.stopping and len(self.addresses) > 0
 
     async def start(self) -> None:
-        """Open everything; raises OSError."""
-        self.journal.apply_initial(self.platform.known)
-        self._starting = False
+        """Starts the journal client and opens the listener; raises OSError."""
+        self.journal.apply_initial(self.platform.initial_events)
+        self._at_our_start = False
         self._tasks.append(asyncio.ensure_future(self.journal.run()))
-        host, port = self.platform.listen
-        port = await opened(lambda: self.front.open(host, port), self._cannot_listen)
+        host, port = self.platform.listen_address
+        port = await retry(lambda: self.front.open(host, port), self._log_listen_failed)
         self._loop_lag.tick(time.monotonic())
-        for tick in self._ticks:
-            tick.start()
+        for timer in self._timers:
+            timer.start()
         self.log("info", "listening", address=f"{host}:{port}", workers=len(self.addresses))
 
-    def _cannot_listen(self, error: OSError) -> None:
-        host, port = self.platform.listen
+    def _log_listen_failed(self, error: OSError) -> None:
+        host, port = self.platform.listen_address
         self.log("warning", "listen-failed", address=f"{host}:{port}", why=str(error))
 
-    def on_signals(self, early: list[int]) -> None:
-        """Take SIGTERM, SIGINT and SIGHUP, also those that came before."""
+    def handle_signals(self, early: list[int]) -> None:
+        """Handles SIGTERM, SIGINT and SIGHUP, and those that came before as `early` lists them."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
@@ -121,13 +131,13 @@
         if signal.SIGTERM in early or signal.SIGINT in early:
             self.stop()
 
-    def _listed(self, event: journal.Event) -> None:
+    def _apply_event(self, event: journal.Event) -> None:
         for worker in event.workers:
             self._leases.listed(worker.id)
         for worker in self.addresses.apply(event):
             self._leases.forget(worker)
             self.link.gone(worker)
-        members = self._start_times.to_members(event, self.clock.now_us(), at_our_start=self._starting)
+        members = self._start_times.to_members(event, self.clock.now_us(), at_our_start=self._at_our_start)
         if not event.is_full_list:
             self._log_changes(event)
         self.enqueue(ports.Listed(members))
@@ -139,81 +149,87 @@
 
     def _stepped(self) -> None:
         self.front.flush()
-        if not self._looking:
-            self._hand_over(LOOK_ITERATIONS if self._unseen_s() > 0 else 0)
+        if not self._flush_pending:
+            self._flush_link(READ_ITERATIONS if self._unseen_s() > 0 else 0)
 
-    def _hand_over(self, iterations: int) -> None:
-        """Let attempts go out to workers, after so many more iterations of the loop.
+    def _flush_link(self, iterations: int) -> None:
+        """Sends attempts to workers after this many more iterations of the event loop.
 
-        After a stall of ours (a stopped process, a collection, a slow core) the end of a client may lie in
-        the kernel, unread: whoever left is heard, and what was meant for them taken back, before anything
-        goes out.
+        After a stall of this process (a stop, a garbage collection, a slow core) the end of a client's
+        connection may still be unread in the kernel.  It is read first, so that the attempts of that client
+        are withdrawn before anything is sent.
         """
-        self._looking = iterations > 0
-        if self._looking:
-            self._loop.asyncio_loop.call_soon(self._hand_over, iterations - 1)
+        self._flush_pending = iterations > 0
+        if self._flush_pending:
+            self._loop.asyncio_loop.call_soon(self._flush_link, iterations - 1)
         else:
             self.link.flush()
 
     def reload(self) -> None:
-        """SIGHUP: the journal service may have moved; anything else is told at the next start."""
-        self.journal.stop_confirming()  # until the file is read, which may take some tries
+        """Handles SIGHUP: the journal service may have moved.  Other settings apply from the next start."""
+        self.journal.stop_confirming()  # until the file has been read, which may take some retries
         self._reload.request()
 
-    def _kept_configuration(self) -> None:
-        """No new file could be read: the service is where it was, and is asked anew."""
+    def _reload_failed(self) -> None:
+        """Reconnects to the journal service at its previous address, as no new file could be read."""
         self.journal.reconnect(self.journal.address)
 
-    def _reconfigured(self, platform: Platform) -> None:
-        self.journal.apply_initial(platform.known)
-        moved = platform.journal != self.journal.address
-        self.log("info", "configuration", journal=f"{platform.journal[0]}:{platform.journal[1]}", moved=moved)
-        self.journal.reconnect(platform.journal)
+    def _apply_configuration(self, platform: Platform) -> None:
+        self.journal.apply_initial(platform.initial_events)
+        moved = platform.journal_address != self.journal.address
+        self.log(
+            "info",
+            "configuration",
+            journal=f"{platform.journal_address[0]}:{platform.journal_address[1]}",
+            moved=moved,
+        )
+        self.journal.reconnect(platform.journal_address)
 
     def stop(self) -> None:
-        """SIGTERM: go on until nothing more can come, then end."""
+        """Handles SIGTERM and SIGINT: serves until no more requests can come, then ends the process."""
         if not self.stopping:
             self.stopping = True
             self.log("info", "stopping", open=self.engine.open)
-            self._tasks.append(asyncio.ensure_future(self._stop()))
+            self._tasks.append(asyncio.ensure_future(self._shut_down()))
 
-    async def _stop(self) -> None:
-        """Answer all that was taken, then end; a failure of the one must not keep the other from happening.
+    async def _shut_down(self) -> None:
+        """Answers every call, then ends the process, also if answering fails.
 
-        Calls may have more time left than the platform gives us (deadlines over 3 s): these are answered with
-        what is known of them before SIGKILL.  It waited for its own cap and then ended with calls open.
+        A call may have more time left than the platform leaves until SIGKILL (a deadline over 3 s); it is
+        answered before SIGKILL with what is known of it.  A version that waited for a limit of its own ended
+        with calls open.
         """
         began = time.monotonic()
         longest_us = max(band.deadline_us for band in self.platform.settings.classes)
         schedule = ShutdownSchedule.of(longest_us / 1e6)
         try:
-            await asyncio.sleep(schedule.take_s)
-            # Refused from here on: harmless for the client, and it ends.
+            await asyncio.sleep(schedule.refuse_s)
+            # From here on requests are refused: a client may retry them, and the number of open calls falls.
             left_s = max(0.0, began + schedule.answer_s - time.monotonic())
             self.enqueue(ports.Stop(self.clock.now_us() + int(left_s * 1e6)))
             self.front.drain()
-            quiet = 0
-            while quiet < 2 and time.monotonic() < began + schedule.close_s:
+            idle_checks = 0
+            while idle_checks < 2 and time.monotonic() < began + schedule.close_s:
                 self.front.end_idle()
-                await asyncio.sleep(QUIET_S)
-                quiet = 0 if self.front.owes() else quiet + 1
-            await self.front.shut(began + schedule.end_s)
+                await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+                idle_checks = 0 if self.front.owes() else idle_checks + 1
+            await self.front.shut(began + schedule.exit_s)
         except Exception as error:
             self.log("error", "stop-failed", error=f"{type(error).__name__}: {error}")
         finally:
-            self._end()
+            self._close()
 
-    def _end(self) -> None:
-        """The end of the process, each part of it whatever became of the others."""
-        for end in (
-            *(tick.stop for tick in self._ticks),
+    def _close(self) -> None:
+        """Closes every part, also if closing another one fails, and lets the process end."""
+        for close in (
+            *(timer.stop for timer in self._timers),
             self._reload.close,
             self.front.close,
             self.link.close,
-            self._figures,
+            self._log_figures,
         ):
             try:
-                end()
+                close()
             except Exception as error:
                 self.log("error", "end-failed", error=f"{type(error).__name__}: {error}")
         self.log("info", "stopped", open=self.engine.open, owed=len(self.front.ids))
@@ -224,34 +240,34 @@
         self.logs.sweep()
         self.wake()
 
-    def _lag(self) -> None:
+    def _tick_lag(self) -> None:
         self._loop_lag.tick(time.monotonic())
 
     def _unseen_s(self) -> float:
         return self._loop_lag.unseen_s(time.monotonic())
 
-    def _seen_us(self) -> int:
-        """Monotonic us up to which the loop has surely read all that had come."""
+    def _read_until_us(self) -> int:
+        """Monotonic us up to which the event loop has certainly read everything that had arrived."""
         return self.clock.now_us() - int(max(TICK_S, self._unseen_s()) * 1e6)
 
-    def _figures(self) -> None:
-        """One line of all that shows how the router does."""
+    def _log_figures(self) -> None:
+        """Logs one line with the router's counters, table sizes and resource use."""
         front = self.front
-        kinds: dict[str, int] = {}
+        replies: dict[str, int] = {}
         for (_, kind, reason), count in self.replies.items():
-            kinds[f"{kind}/{reason}"] = kinds.get(f"{kind}/{reason}", 0) + count
+            replies[f"{kind}/{reason}"] = replies.get(f"{kind}/{reason}", 0) + count
         self.log(
             "info", "figures", lag_ms=round(self._loop_lag.take_worst_s() * 1e3, 1),
             cpu_s=round(time.process_time(), 2), memory_mb=_memory_mb(),
             descriptors=_descriptors(), clients=len(front.connections),
-            replies=kinds, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
+            replies=replies, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
             link=dict(self.link.counts), sizes=tables(self.engine) | self.link.sizes(),
             counts=dict(self.engine.counts), ends=dict(self.engine.ends),
             held=self.journal.sequence.last_number, asked=self.journal.connections, list=self._list_figures(),
         )  # fmt: skip
 
     def _list_figures(self) -> dict[str, object]:
-        """How old the list is, and what is proven of workers."""
+        """The age of the worker list, and the numbers of workers by their leases."""
         now_us, staleness = self.clock.now_us(), self._staleness
         confirmed_us = staleness.confirmed_us
         return {
@@ -278,18 +294,22 @@
 
 
 def main(early: list[int] | None = None, began_us: int | None = None) -> int:
-    """Run until told to end; the exit code.  `began_us`: monotonic us at which the process began."""
+    """Runs the router until a signal ends it; returns the exit code.
+
+    `early` has signals that came before; `began_us` is when the process began, monotonic us.
+    """
     file = os.environ.get("EDGE_CONFIG", "")
     if not file:
         print("swiftwell: EDGE_CONFIG is not set: expected the path of the configuration", file=sys.stderr)
         return 2
     try:
-        platform = config.read(started(Path(file).read_bytes), file)
+        platform = config.read(retry_blocking(Path(file).read_bytes), file)
     except (OSError, ConfigError) as error:
         print(f"swiftwell: {error}", file=sys.stderr)
         return 2
     return uvloop.run(
-        _serve(platform, file, early or [], began_us), loop_factory=lambda: started(uvloop.new_event_loop)
+        _serve(platform, file, early or [], began_us),
+        loop_factory=lambda: retry_blocking(uvloop.new_event_loop),
     )
 
 
@@ -300,8 +320,8 @@
     except OSError as error:
         print(f"swiftwell: {file}: listen: {error}", file=sys.stderr)
         return 2
-    node.on_signals(early)
-    gc.freeze()  # what stands by now stays: full collections need not walk it
+    node.handle_signals(early)
+    gc.freeze()  # all objects so far live as long as the process: full collections need not walk them
     gc.enable()
     await node.ended.wait()
     return 0
--- a/swiftwell/platform/reload.py
+++ b/swiftwell/platform/reload.py
@@ -1,4 +1,7 @@
-"""A new configuration on SIGHUP: read again while it can't be, as no second signal need come."""
+"""Reloads the configuration on SIGHUP.
+
+A file that can't be read yet is retried, as the platform need not send a second signal.
+"""
 
 from __future__ import annotations
 
@@ -10,46 +13,46 @@
 from swiftwell.settings import platform as config
 from swiftwell.settings.platform import ConfigError, Platform
 
-RELOAD_S = 3.0  # s for which a file is read again; what it tells counts as told 4 s after the signal
-WAIT_S = 0.05  # s between two tries: a file that is being replaced is whole soon
+RELOAD_TIMEOUT_S = 3.0  # its changes count as delivered 4 s after the signal
+RETRY_INTERVAL_S = 0.05  # a file that is being replaced is complete soon
 
 
 class ConfigurationReload:
-    """`take` is given each configuration that could be read, `kept` is called where none could be."""
+    """Calls `on_loaded` with each configuration that was read, and `on_failed` where none could be."""
 
     def __init__(
         self,
         file: str,
-        take: Callable[[Platform], None],
-        kept: Callable[[], None],
+        on_loaded: Callable[[Platform], None],
+        on_failed: Callable[[], None],
         log: Callable[..., None],
     ) -> None:
-        self._file, self._take, self._kept, self._log = file, take, kept, log
-        self._until = 0.0
-        self._again: asyncio.TimerHandle | None = None
+        self._file, self._on_loaded, self._on_failed, self._log = file, on_loaded, on_failed, log
+        self._deadline = 0.0
+        self._retry: asyncio.TimerHandle | None = None
 
     def request(self) -> None:
-        """The signal has come, perhaps once more."""
-        self._until = time.monotonic() + RELOAD_S
+        """Starts a reload, or extends the one that is under way."""
+        self._deadline = time.monotonic() + RELOAD_TIMEOUT_S
         self._read(first=True)
 
     def close(self) -> None:
-        """No try follows any more."""
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
+        """Cancels the next retry."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
 
     def _read(self, first: bool = False) -> None:
         self.close()
         try:
-            found = config.read(Path(self._file).read_bytes(), self._file)
+            platform = config.read(Path(self._file).read_bytes(), self._file)
         except (OSError, ConfigError) as error:
-            over = time.monotonic() >= self._until
-            if first or over:
-                self._log("error", "configuration-kept", why=str(error), again=not over)
-            if over:
-                self._kept()
+            timed_out = time.monotonic() >= self._deadline
+            if first or timed_out:
+                self._log("error", "configuration-kept", why=str(error), again=not timed_out)
+            if timed_out:
+                self._on_failed()
             else:
-                self._again = asyncio.get_running_loop().call_later(WAIT_S, self._read)
+                self._retry = asyncio.get_running_loop().call_later(RETRY_INTERVAL_S, self._read)
             return
-        self._take(found)
+        self._on_loaded(platform)
--- a/swiftwell/platform/shutdown.py
+++ b/swiftwell/platform/shutdown.py
@@ -1,44 +1,45 @@
-"""When a router that got SIGTERM does what, so that nothing is owed when SIGKILL comes.  No I/O, no clock.
+"""Schedule of a shutdown: what happens when after SIGTERM, so that every call is answered before SIGKILL.
 
-The platform sends SIGKILL no earlier than the longest deadline (counted as 3 s at most) plus 0.7 s after
-SIGTERM; requests may come on open connections until then, and each that came by 0.7 s has its whole deadline.
-With short deadlines all that is left is the longest deadline, so each step takes a part of it.
+No I/O and no clock.  The platform sends SIGKILL no earlier than the longest deadline (counted as 3 s at most)
+plus 0.7 s after SIGTERM.  Until then requests may come on open connections, and each that came within 0.7 s
+has its whole deadline.  With short deadlines all the time left is the longest deadline, so each step takes a
+fraction of it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LAST_REQUEST_S = 0.7  # s after SIGTERM by which the last request has come that has its whole deadline
-LONGEST_S = 3.0  # s: the longest deadline that the platform reckons with
-TAKE_S, TAKE_PART = 0.05, 1 / 4  # s, and part of the time left, beyond `LAST_REQUEST_S` for late ways
-ANSWER_S, ANSWER_PART = 0.25, 1 / 2  # before SIGKILL: every call is answered, for ways and slow clients
-CLOSE_S, CLOSE_PART = 0.1, 1 / 4  # before SIGKILL: every connection begins to end
-END_S, END_PART = 0.05, 1 / 8  # before SIGKILL: the process ends, whatever is left
+LAST_REQUEST_S = 0.7  # after SIGTERM; requests that come by then have their whole deadline
+MAX_DEADLINE_S = 3.0  # the longest deadline that the platform allows for
+REFUSE_S, REFUSE_FRACTION = 0.05, 1 / 4  # after `LAST_REQUEST_S`, for requests that are delayed on their way
+ANSWER_S, ANSWER_FRACTION = 0.25, 1 / 2  # before SIGKILL, for the network and slow clients
+CLOSE_S, CLOSE_FRACTION = 0.1, 1 / 4  # before SIGKILL
+EXIT_S, EXIT_FRACTION = 0.05, 1 / 8  # before SIGKILL
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """Seconds after SIGTERM.
+    """Times in seconds after SIGTERM.
 
-    `take_s`: requests are refused from then on, and connections end as soon as nothing is owed on them;
-    `answer_s`: all calls are answered with what is known of them; `close_s`: all connections begin to end;
-    `end_s`: the process ends.
+    `refuse_s`: from then on requests are refused, and each connection is closed as soon as no answer is due
+    on it; `answer_s`: every call is answered by then, with what is known of it; `close_s`: closing of all
+    connections begins; `exit_s`: the process exits, whatever is left.
     """
 
-    take_s: float
+    refuse_s: float
     answer_s: float
     close_s: float
-    end_s: float
+    exit_s: float
 
     @staticmethod
     def of(longest_deadline_s: float) -> ShutdownSchedule:
-        """The schedule of a deployment by its longest deadline."""
-        left_s = min(longest_deadline_s, LONGEST_S)
-        kill_s = LAST_REQUEST_S + left_s
+        """The schedule of a deployment with this longest deadline."""
+        available_s = min(longest_deadline_s, MAX_DEADLINE_S)
+        kill_s = LAST_REQUEST_S + available_s
         return ShutdownSchedule(
-            take_s=LAST_REQUEST_S + min(TAKE_S, left_s * TAKE_PART),
-            answer_s=kill_s - min(ANSWER_S, left_s * ANSWER_PART),
-            close_s=kill_s - min(CLOSE_S, left_s * CLOSE_PART),
-            end_s=kill_s - min(END_S, left_s * END_PART),
+            refuse_s=LAST_REQUEST_S + min(REFUSE_S, available_s * REFUSE_FRACTION),
+            answer_s=kill_s - min(ANSWER_S, available_s * ANSWER_FRACTION),
+            close_s=kill_s - min(CLOSE_S, available_s * CLOSE_FRACTION),
+            exit_s=kill_s - min(EXIT_S, available_s * EXIT_FRACTION),
         )
--- a/swiftwell/platform/startup.py
+++ b/swiftwell/platform/startup.py
@@ -1,4 +1,4 @@
-"""Starting although a call fails for a moment: tried again within the time that a start may take."""
+"""Retries calls that fail temporarily while the router starts."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 
 from swiftwell.sockets import LOCAL_ERRORS
 
-START_S = 20.0  # s for which a start is tried again; the platform waits for 30
-WAIT_S = 0.05  # s between two tries: a port of a process that has just ended is free within some of them
-# Reasons for which opening a file, a socket or a loop fails for a moment.
-PASSING_ERRORS = LOCAL_ERRORS | {errno.EIO, errno.EAGAIN, errno.EINTR, errno.EBUSY}
+START_TIMEOUT_S = 20.0  # the platform waits 30 s for a start
+RETRY_INTERVAL_S = 0.05  # the port of a process that has just ended is free after a few of them
+# Errors by which opening a file, a socket or an event loop may fail temporarily.
+TEMPORARY_ERRORS = LOCAL_ERRORS | {errno.EIO, errno.EAGAIN, errno.EINTR, errno.EBUSY}
 
 Result = TypeVar("Result")
 
 
-def _may_pass(error: OSError, until: float) -> bool:
-    """Whether a failure may pass by itself, and there is time for another try by then, monotonic s."""
-    return error.errno in PASSING_ERRORS and time.monotonic() + WAIT_S < until
+def _may_retry(error: OSError, deadline: float) -> bool:
+    """Whether an error may be temporary and another try fits before `deadline`, monotonic s."""
+    return error.errno in TEMPORARY_ERRORS and time.monotonic() + RETRY_INTERVAL_S < deadline
 
 
-class _Tries(Generic[Result]):
-    """A call that is tried again while its failure may pass; `result` once it has succeeded."""
+class _Retries(Generic[Result]):
+    """A call that is retried after temporary errors; `result` is set once it has succeeded."""
 
-    def __init__(self, call: Callable[[], Result], within_s: float) -> None:
-        self._call, self._until = call, time.monotonic() + within_s
+    def __init__(self, call: Callable[[], Result], timeout_s: float) -> None:
+        self._call, self._deadline = call, time.monotonic() + timeout_s
         self.result: Result
 
-    def failure(self) -> OSError | None:
-        """Try once: None where it succeeded, else a failure that may pass.  Raises OSError for any other."""
+    def try_once(self) -> OSError | None:
+        """None if the call succeeded, else an OSError that may be temporary; raises any other."""
         try:
             self.result = self._call()
         except OSError as error:
-            if not _may_pass(error, self._until):
+            if not _may_retry(error, self._deadline):
                 raise
             return error
         return None
 
 
-def started(call: Callable[[], Result], within_s: float = START_S) -> Result:
-    """What a call gives once it succeeds, before there is a loop.  Raises OSError as its last try did."""
-    tries = _Tries(call, within_s)
-    while tries.failure():
-        time.sleep(WAIT_S)
-    return tries.result
+def retry_blocking(call: Callable[[], Result], timeout_s: float = START_TIMEOUT_S) -> Result:
+    """Retries a call before an event loop runs; raises the OSError of the last try."""
+    retries = _Retries(call, timeout_s)
+    while retries.try_once():
+        time.sleep(RETRY_INTERVAL_S)
+    return retries.result
 
 
-async def opened(
-    call: Callable[[], Result], failed: Callable[[OSError], None], within_s: float = START_S
+async def retry(
+    call: Callable[[], Result], on_first_error: Callable[[OSError], None], timeout_s: float = START_TIMEOUT_S
 ) -> Result:
-    """As `started`, within a loop; `failed` is called with the first failure."""
-    tries, first = _Tries(call, within_s), True
-    while error := tries.failure():
+    """As `retry_blocking`, on an event loop; `on_first_error` is called with the first error only."""
+    retries, first = _Retries(call, timeout_s), True
+    while error := retries.try_once():
         if first:
-            failed(error)
+            on_first_error(error)
             first = False
-        await asyncio.sleep(WAIT_S)
-    return tries.result
+        await asyncio.sleep(RETRY_INTERVAL_S)
+    return retries.result
--- a/swiftwell/scale/ranking.py
+++ b/swiftwell/scale/ranking.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass
 
 from swiftwell.discovery.journal import MAX_FRAME_RECORDS
-from swiftwell.platform.limits import divide
+from swiftwell.platform.limits import divide_descriptors
 from swiftwell.scale import slopes
 from swiftwell.scale.cases import FLAT_EXPONENT, ListCase, RoutingCase
 from swiftwell.scale.fits import Fit
@@ -17,7 +17,7 @@
 
 MODULE_CORES = 0.25  # of a core at a mean router's calls: assumed, the rest is sockets and codecs
 START_LIST_US = 250_000.0  # us of a start for taking the whole list: assumed, two fifths of 0.61 s
-WORKER_DESCRIPTORS = divide(TARGET.router_sockets).workers
+WORKER_DESCRIPTORS = divide_descriptors(TARGET.router_sockets).workers
 COPY_LIFE_S = 600.0  # s that a copy stands: assumed, where each copy has an entry of its own
 ENTRY_CHANGES_PER_S = 2 * TARGET.instances / COPY_LIFE_S
 FAR = 1_000.0  # times the target: a bound that is crossed beyond it is not crossed
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -67,7 +67,7 @@
     log = text.StringIO()
     told = config.read(file.read_bytes(), str(file))
     node = Node(told, str(file), Logs("json", "debug", 1_000, log))
-    node.platform = replace(told, listen=(HOST, 0))
+    node.platform = replace(told, listen_address=(HOST, 0))
     node.lines, node.file = log, file
     await node.start()
     node.port = node.front.port
@@ -78,8 +78,8 @@
         node.link.close()
         for task in node._tasks:
             task.cancel()
-        for tick in node._ticks:
-            tick.stop()
+        for timer in node._timers:
+            timer.stop()
         await asyncio.sleep(0)
 
 
--- a/tests/test_connection_floods.py
+++ b/tests/test_connection_floods.py
@@ -29,7 +29,7 @@
 from swiftwell.fronts.fastcgi import acceptor
 from swiftwell.fronts.fastcgi import connection as fc
 from swiftwell.fronts.fastcgi import listener as lis
-from swiftwell.platform.limits import divide
+from swiftwell.platform.limits import divide_descriptors
 
 
 def connect(port, count):
@@ -196,7 +196,7 @@
                 journal.server.close()
                 for writer in journal.writers:
                     writer.transport.abort()
-                silent = connect(process.port, 2 * divide(sockets).clients)
+                silent = connect(process.port, 2 * divide_descriptors(sockets).clients)
                 again = Journal(serve)
                 again.server = await asyncio.start_server(again._serve, HOST, port, reuse_address=True)
                 await until(lambda: again.asked, 10.0)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -162,7 +162,7 @@
                 await until(lambda: node.engine.router.calls)  # held: no worker is known
                 leave(front, how)
                 await until(lambda: node.engine.counts["left"])
-            node._listed(next(iter(_frames().feed(frame(2, 1, [(1, worker.port, 0)])))))
+            node._apply_event(next(iter(_frames().feed(frame(2, 1, [(1, worker.port, 0)])))))
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
             assert [words[1].decode() for words in worker.runs()] == [id_(2)]
@@ -213,7 +213,7 @@
             records = {"drains": [(1, gate.port, 1)], "is gone": [(1, gate.port, 2)]}.get(
                 what, [(1, gate.port, 2), (2, gate.port, 1)]
             )
-            node._listed(next(iter(_frames().feed(frame(2, 2, records)))))
+            node._apply_event(next(iter(_frames().feed(frame(2, 2, records)))))
             await gate.open()
             await until(lambda: one.opened.done())
             assert one.opened.result()  # it did come up, so the request could have gone
--- a/tests/test_keyed_and_spoilt.py
+++ b/tests/test_keyed_and_spoilt.py
@@ -34,7 +34,7 @@
             if words[0] == b"FN":
                 began.append(time.monotonic())
                 (whole,) = _frames().feed(frame(2, 1, [(2, gate.port, 0)]))
-                node._listed(whole)  # from now on there is only the other worker, which is at a gate
+                node._apply_event(whole)  # from now on there is only the other worker, which is at a gate
                 writer.write(said(words[1], b"BROKE"))  # it may have run
 
         async with (
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -106,14 +106,14 @@
             raise OSError(code, "planted")
         return "opened"
 
-    assert startup.started(lambda: opens(errno.EIO, 2)) == "opened" and len(calls) == 3
+    assert startup.retry_blocking(lambda: opens(errno.EIO, 2)) == "opened" and len(calls) == 3
     calls.clear()
     with pytest.raises(FileNotFoundError):
-        startup.started(lambda: opens(errno.ENOENT, 2))
+        startup.retry_blocking(lambda: opens(errno.ENOENT, 2))
     assert len(calls) == 1
     calls.clear()
     with pytest.raises(OSError, match="planted"):
-        startup.started(lambda: opens(errno.ENFILE, 1_000), within_s=0.2)
+        startup.retry_blocking(lambda: opens(errno.ENFILE, 1_000), timeout_s=0.2)
 
 
 def test_the_router_listens_on_its_own_address_only(tmp_path):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -32,7 +32,7 @@
 from swiftwell.fronts.fastcgi import connection as fc
 from swiftwell.fronts.fastcgi import listener as lis
 from swiftwell.fronts.fastcgi.pending import MAX_SILENT_SWEEPS
-from swiftwell.platform.limits import OWN, divide
+from swiftwell.platform.limits import RESERVED_DESCRIPTORS, divide_descriptors
 
 
 def id_(number):
@@ -229,7 +229,7 @@
             async with Front(node.port) as late:
                 assert (await late.ask(1, fields(id_(2))))[0] == 200
             assert (await usual.ask(2, fields(id_(3))))[0] == 200
-            assert len(node.front) <= divide(64).clients
+            assert len(node.front) <= divide_descriptors(64).clients
             for _, writer in silent:
                 writer.close()
 
@@ -362,7 +362,7 @@
                 async with Front(node.port) as front:
                     await front.ask(1, fields(id_(round_ + 1), HTTP_REQ_KEY=f"{round_:016x}"))
             await until(lambda: not node.front.connections)
-            node._figures()
+            node._log_figures()
             sizes = json.loads(node.lines.getvalue().splitlines()[-1])["sizes"]
             for name in ("calls", "sources", "orders", "worker_jobs", "worker_orders", "module_calls"):
                 assert sizes[name] == 0, name
@@ -372,8 +372,10 @@
 
 def test_descriptors_are_divided_with_room_for_the_process_itself():
     for sockets in (64, 256, 384, 1_024):
-        share = divide(sockets)
-        assert share.clients + share.workers + OWN <= sockets and share.clients >= sockets // 3
+        share = divide_descriptors(sockets)
+        assert (
+            share.clients + share.workers + RESERVED_DESCRIPTORS <= sockets and share.clients >= sockets // 3
+        )
 
 
 class Process:
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -26,8 +26,13 @@
     )
     assert told.settings.kind_memory_mb == (("std", 8000.0), ("big", 9000.0))
     assert told.settings.retry_after and told.settings.max_attempts == 3 and not told.settings.second_copies
-    assert (told.streams, told.idle_us, told.dial_us, told.sockets) == (32, 30_000_000, 250_000, 256)
-    assert told.zones == ("east",) and told.kinds == ("std", "big") and len(told.known) == 1
+    assert (told.streams_per_connection, told.idle_timeout_us, told.connect_timeout_us, told.descriptors) == (
+        32,
+        30_000_000,
+        250_000,
+        256,
+    )
+    assert told.zones == ("east",) and told.kinds == ("std", "big") and len(told.initial_events) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -103,5 +103,5 @@
 def test_the_schedule_leaves_time_for_each_step_before_sigkill_may_come(longest_s):
     schedule = ShutdownSchedule.of(longest_s)
     kill_s = min(longest_s, 3.0) + LAST_REQUEST_S
-    steps = [LAST_REQUEST_S, schedule.take_s, schedule.answer_s, schedule.close_s, schedule.end_s, kill_s]
+    steps = [LAST_REQUEST_S, schedule.refuse_s, schedule.answer_s, schedule.close_s, schedule.exit_s, kill_s]
     assert steps == sorted(steps) and len(set(steps)) == len(steps)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -23,7 +23,7 @@
 from test_platform import Process, id_
 from test_shutdown import short
 
-from swiftwell.platform.shutdown import LAST_REQUEST_S, LONGEST_S
+from swiftwell.platform.shutdown import LAST_REQUEST_S, MAX_DEADLINE_S
 
 SEEDS = int(os.environ.get("SWIFTWELL_SOAK_SEEDS", "6"))
 DEADLINES_MS = (100, 150, 250, 400, 1_500)
@@ -200,7 +200,7 @@
             calc.hangs = chance.random() < 0.4
             began = time.monotonic()
             await signals(router.process, chance, rewrite)
-            kill_s = min(deadline_ms / 1_000, LONGEST_S) + LAST_REQUEST_S
+            kill_s = min(deadline_ms / 1_000, MAX_DEADLINE_S) + LAST_REQUEST_S
             await asyncio.sleep(max(0.0, began + kill_s - time.monotonic()))
             router.process.kill()  # where it is still there
             for client in clients:
