--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,5 +1,4 @@
-"""The saved list on disk, how far it is trusted, the roster that merges all words of workers, and the list
-client."""
+"""The saved worker list, the trust in its entries, the roster that merges all reports, and list clients."""
 
 import asyncio
 import os
@@ -38,63 +37,63 @@
 
 
 def states(members):
-    return {e.worker: e.state for e in members.entries} if members else {}
+    return {entry.worker: entry.state for entry in members.entries} if members else {}
 
 
 # On disk.
 
 
-def a_list(epoch=7, wall=10 * DAY, mono=HOUR, boot="b", count=3):
+def make_list(epoch=7, wall=10 * DAY, mono=HOUR, boot="b", count=3):
     workers = tuple(
         saved.SavedWorker(f"10.0.0.{n}:1", "k", listed_us=wall, answered_us=wall - HOUR) for n in range(count)
     )
     return saved.SavedList(epoch, wall, mono, boot, workers)
 
 
-def test_a_list_comes_back_and_the_one_before_is_kept(tmp_path):
+def test_a_list_is_read_back_and_the_previous_one_is_kept(tmp_path):
     assert saved.read(tmp_path) == saved.ReadResult(None, "", ())
-    saved.write(tmp_path, a_list(1))
-    saved.write(tmp_path, a_list(2))
-    assert saved.read(tmp_path).saved == a_list(2)
+    saved.write(tmp_path, make_list(1))
+    saved.write(tmp_path, make_list(2))
+    assert saved.read(tmp_path).saved == make_list(2)
     (tmp_path / "current").unlink()
-    assert saved.read(tmp_path).saved == a_list(1)
+    assert saved.read(tmp_path).saved == make_list(1)
 
 
 @given(st.binary(max_size=80), st.integers(0, 200), st.integers(0, 255))
-def test_whatever_lies_in_a_file_it_is_used_whole_or_not_at_all(noise, at, byte):
-    raw = bytearray(saved.encode(a_list()))
+def test_a_damaged_file_is_used_as_a_whole_or_not_at_all(noise, at, byte):
+    raw = bytearray(saved.encode(make_list()))
     raw[at % len(raw)] = byte
     for damaged in (bytes(raw), bytes(raw[: at % len(raw)]), noise):
         try:
-            assert saved.decode(damaged, "f") == a_list()
+            assert saved.decode(damaged, "f") == make_list()
         except saved.UnusableFile as error:
             assert str(error).startswith("f: ")
 
 
 @pytest.mark.parametrize(
-    ("damage", "word"),
+    ("damage", "text"),
     [
         (lambda raw: raw[:-4], "cut short"),
         (lambda raw: raw[:10], "cut short"),
         (lambda raw: raw[:-1] + bytes((raw[-1] ^ 1,)), "checksum"),
         (lambda raw: b"X" + raw[1:], "not a saved list"),
-        (lambda raw: saved.encode(a_list(), 9), "newer version"),
+        (lambda raw: saved.encode(make_list(), 9), "newer version"),
     ],
 )
-def test_what_cannot_be_used_is_told_and_the_one_before_is_used(tmp_path, damage, word):
-    saved.write(tmp_path, a_list(1))
-    saved.write(tmp_path, a_list(2))
+def test_an_unusable_file_is_reported_and_the_previous_one_is_used(tmp_path, damage, text):
+    saved.write(tmp_path, make_list(1))
+    saved.write(tmp_path, make_list(2))
     current = tmp_path / "current"
     current.write_bytes(damage(current.read_bytes()))
-    found = saved.read(tmp_path)
-    assert found.saved == a_list(1) and word in found.problems[0] and "current" in found.problems[0]
-    saved.write(tmp_path, a_list(3))
-    assert saved.read(tmp_path).saved == a_list(3)
-    if word == "newer version":  # kept for the version that can read it
+    result = saved.read(tmp_path)
+    assert result.saved == make_list(1) and text in result.problems[0] and "current" in result.problems[0]
+    saved.write(tmp_path, make_list(3))
+    assert saved.read(tmp_path).saved == make_list(3)
+    if text == "newer version":  # kept for the version that can read it
         assert saved.HEADER.unpack_from((tmp_path / "newer").read_bytes())[1] == 9
 
 
-KILLED = """
+KILLED_WRITER = """
 import os, signal, sys
 from pathlib import Path
 from swiftwell.discovery import saved
@@ -114,25 +113,25 @@
 
 
 @pytest.mark.parametrize("step", ["half", "written", "moved", "renamed"])
-def test_a_kill_at_any_step_of_writing_leaves_a_list(tmp_path, step):
-    saved.write(tmp_path, a_list(0))
-    saved.write(tmp_path, a_list(1))
-    done = subprocess.run([sys.executable, "-c", KILLED, str(tmp_path), step], check=False)
+def test_a_kill_at_any_step_of_writing_leaves_make_list(tmp_path, step):
+    saved.write(tmp_path, make_list(0))
+    saved.write(tmp_path, make_list(1))
+    done = subprocess.run([sys.executable, "-c", KILLED_WRITER, str(tmp_path), step], check=False)
     assert done.returncode == -9
-    found = saved.read(tmp_path)
-    assert not found.problems and found.saved.epoch == (2 if step == "renamed" else 1)
-    saved.write(tmp_path, a_list(3))
+    result = saved.read(tmp_path)
+    assert not result.problems and result.saved.epoch == (2 if step == "renamed" else 1)
+    saved.write(tmp_path, make_list(3))
     assert saved.read(tmp_path).saved.epoch == 3
 
 
-def test_the_age_of_a_word():
-    told = a_list(wall=10 * DAY, mono=HOUR, boot="b")
-    word = 10 * DAY - HOUR
-    age = lambda *now: saved.age_us(told, word, *now)  # noqa: E731
-    assert age(10 * DAY + HOUR, 99, "c") == 2 * HOUR  # another run of the machine: the wall clock tells
-    assert age(9 * DAY, 2 * HOUR, "b") == 2 * HOUR  # the same: whatever was done to the wall clock
-    assert age(9 * DAY, 99, "c") is None  # from the future
-    assert saved.age_us(told, 0, 11 * DAY, 0, "c") is None  # never heard of
+def test_the_age_of_a_report():
+    saved_list = make_list(wall=10 * DAY, mono=HOUR, boot="b")
+    reported_us = 10 * DAY - HOUR
+    age = lambda *now: saved.age_us(saved_list, reported_us, *now)  # noqa: E731
+    assert age(10 * DAY + HOUR, 99, "c") == 2 * HOUR  # after a reboot: by the wall clock
+    assert age(9 * DAY, 2 * HOUR, "b") == 2 * HOUR  # the same boot: by the monotonic clock
+    assert age(9 * DAY, 99, "c") is None  # saved in the future
+    assert saved.age_us(saved_list, 0, 11 * DAY, 0, "c") is None  # never reported
 
 
 # Trust.
@@ -152,8 +151,7 @@
 
 
 def test_how_a_worker_that_answered_is_offered():
-    # An old entry that says nothing of its start is taken as just started, one that confirms it as it was
-    # listed.
+    # An old entry whose worker reports no start counts as just started; with a confirmed start, as listed.
     assert trust.offer(trust.Grade.OLD, 5_000, 0, NOW).started_us == NOW
     assert trust.offer(trust.Grade.OLD, 5_000, 5_100, NOW).started_us == 5_000
     assert trust.offer(trust.Grade.OLD, 5_000, 90 * SECOND, NOW).started_us == 90 * SECOND
@@ -167,22 +165,22 @@
 
 
 def test_when_a_list_may_replace_the_saved_one():
-    ok = lambda **more: trust.may_save(**{"now_us": HOUR, "saved_us": 0, "saved": 10, "listed": 10,  # noqa: E731
+    may_save = lambda **more: trust.may_save(**{"now_us": HOUR, "saved_us": 0, "saved": 10, "listed": 10,  # noqa: E731
                                           "since_us": HOUR, "changed": True} | more)  # fmt: skip
-    assert ok() and ok(listed=5) and not ok(listed=0) and not ok(listed=0, since_us=0)
-    assert not ok(listed=4) and ok(listed=4, since_us=HOUR - trust.COLLAPSE_CONFIRM_US)
-    assert not ok(saved_us=HOUR - SECOND) and not ok(saved_us=HOUR - 30 * SECOND, changed=False)
+    assert may_save() and may_save(listed=5) and not may_save(listed=0) and not may_save(listed=0, since_us=0)
+    assert not may_save(listed=4) and may_save(listed=4, since_us=HOUR - trust.COLLAPSE_CONFIRM_US)
+    assert not may_save(saved_us=HOUR - SECOND) and not may_save(saved_us=HOUR - 30 * SECOND, changed=False)
 
 
 # The roster.
 
 
-def test_fresh_entries_are_used_at_once_and_older_ones_when_they_answer():
+def test_fresh_entries_are_offered_at_once_and_older_ones_when_they_answer():
     roster = Roster()
-    told = roster.add_saved(
+    update = roster.add_saved(
         NOW, [(entry("fresh"), SECOND), (entry("aged"), 60 * SECOND), (entry("old"), DAY)]
     )
-    assert states(told) == {"fresh": State.READY}
+    assert states(update) == {"fresh": State.READY}
     assert sorted(roster.due_queries(NOW)) == ["aged", "fresh", "old"]
     assert states(roster.query_ended(NOW, "aged", False, 0, True)) == {"aged": State.READY}
     old = roster.query_ended(NOW, "old", False, 0, True).entries[0]
@@ -190,7 +188,7 @@
     assert roster.query_ended(NOW, "fresh", False, 0, True) is None  # nothing new
 
 
-def test_a_saved_worker_that_has_drained_or_gone_is_never_offered():
+def test_a_saved_worker_that_drains_or_is_gone_is_never_offered():
     roster = Roster()
     roster.add_saved(NOW, [(entry("drained"), DAY), (entry("gone"), DAY), (entry("lost"), SECOND)])
     roster.due_queries(NOW)
@@ -199,42 +197,42 @@
     assert states(roster.query_ended(NOW, "lost", False, 0, False)) == {
         "lost": State.GONE
     }  # it had been offered
-    assert roster.due_queries(NOW + 1) == []  # asked again later, not at once
+    assert roster.due_queries(NOW + 1) == []  # queried again later, not at once
     assert sorted(roster.due_queries(NOW + 3 * SECOND)) == ["gone", "lost"]
 
 
-def test_questions_are_bounded_and_paced():
+def test_queries_are_limited_in_number_and_rate():
     roster = Roster(170)
     roster.add_saved(NOW, [(entry(f"w{n}"), DAY) for n in range(64)])
-    now, asked, most = NOW, [], 0
-    out = []
-    while len(asked) < 64:
+    now, queried, max_open = NOW, [], 0
+    open_queries = []
+    while len(queried) < 64:
         for worker in roster.due_queries(now):
-            asked.append((now, worker))
-            out.append(worker)
-        most = max(most, len(out))
-        if out:
-            roster.query_ended(now, out.pop(0), False, 0, True)
+            queried.append((now, worker))
+            open_queries.append(worker)
+        max_open = max(max_open, len(open_queries))
+        if open_queries:
+            roster.query_ended(now, open_queries.pop(0), False, 0, True)
         now = max(now + 1_000, roster.next_due_us(now) or now)
     assert (
-        most <= trust.MAX_OPEN_QUERIES and asked[-1][0] - NOW > 2 * SECOND
+        max_open <= trust.MAX_OPEN_QUERIES and queried[-1][0] - NOW > 2 * SECOND
     )  # 170 gateways over 50 a second is 3.4 s
 
 
-def test_a_live_list_corrects_everything_within_one_round():
+def test_a_live_list_corrects_every_entry():
     roster = Roster()
     roster.add_saved(NOW, [(entry("a"), DAY), (entry("b"), DAY), (entry("c"), SECOND)])
     roster.due_queries(NOW)
     roster.query_ended(NOW, "a", False, 0, True)
-    told = roster.apply_list(NOW + SECOND, full(entry("b"), entry("d")))
-    assert states(told) == {
+    update = roster.apply_list(NOW + SECOND, full(entry("b"), entry("d")))
+    assert states(update) == {
         "b": State.READY, "d": State.READY, "a": State.DRAINING, "c": State.GONE}  # fmt: skip
     assert (
         roster.due_queries(NOW + 2 * SECOND) == [] and roster.add_saved(NOW, [(entry("z"), SECOND)]) is None
     )
 
 
-def test_an_empty_list_is_obeyed_and_beliefs_wait_a_while():
+def test_an_empty_list_drains_all_workers_but_keeps_them_for_a_while():
     roster = Roster()
     roster.apply_list(NOW, full(entry("a"), entry("b")))
     assert set(states(roster.apply_list(NOW + 1, full())).values()) == {State.DRAINING}
@@ -245,7 +243,7 @@
     assert list(roster.known) == ["a"]
 
 
-def test_a_worker_that_says_it_drains_overrules_a_late_list_until_it_is_another_process():
+def test_a_drain_report_overrules_a_late_list_until_the_process_is_replaced():
     roster = Roster()
     roster.apply_list(NOW, full(entry("a", started=5)))
     assert states(roster.record_report(NOW, "a", draining=True)) == {"a": State.DRAINING}
@@ -253,10 +251,10 @@
     assert states(roster.apply_list(NOW, full(entry("a", started=9)))) == {"a": State.READY}
 
 
-def test_another_process_at_the_same_address_is_seen_before_the_list_knows():
+def test_a_new_process_at_the_same_address_is_noticed_before_the_list_names_it():
     roster = Roster()
     roster.apply_list(NOW, full(entry("a", started=10 * SECOND)))
-    assert roster.record_report(NOW, "a", started_us=10 * SECOND + 300) is None  # two words for one start
+    assert roster.record_report(NOW, "a", started_us=10 * SECOND + 300) is None  # two reports of one start
     fresh = roster.record_report(NOW, "a", started_us=400 * SECOND).entries[0]
     assert fresh.started_us == 400 * SECOND
     late = roster.apply_list(NOW, full(entry("a", started=10 * SECOND)))
@@ -267,7 +265,7 @@
     assert newer.entries[0].started_us == 450 * SECOND
 
 
-def test_a_process_without_a_listed_start_is_known_by_its_own_word():
+def test_a_process_without_a_listed_start_is_identified_by_its_own_report():
     roster = Roster()
     roster.apply_list(NOW, full(entry("a")))
     assert roster.record_report(NOW, "a", started_us=100 * SECOND) is None
@@ -276,35 +274,35 @@
 
 
 @given(st.data())
-def test_what_the_module_believes_is_what_the_roster_says(data):
-    """Whatever comes in whatever order, the module's view by the updates equals the roster's own."""
+def test_the_updates_for_the_router_add_up_to_the_rosters_entries(data):
+    """In whatever order inputs come, the view built from the updates equals the roster's own."""
     roster, view, now = Roster(3), {}, NOW
     names = st.sampled_from(["a", "b", "c", "d"])
     entries = st.builds(
         entry, names, st.sampled_from([State.READY, State.DRAINING]), st.sampled_from([0, 5, 10**8])
     )
 
-    def take(told):
-        for e in told.entries if told else ():
-            view[e.worker] = e
-            if e.state is State.GONE:
-                del view[e.worker]
+    def take(update):
+        for changed in update.entries if update else ():
+            view[changed.worker] = changed
+            if changed.state is State.GONE:
+                del view[changed.worker]
 
     for _ in range(data.draw(st.integers(0, 15))):
         now += data.draw(st.integers(0, 40 * SECOND))
         match data.draw(st.integers(0, 5)):
             case 0:
-                one = {e.worker: e for e in data.draw(st.lists(entries, max_size=4))}
-                take(roster.apply_list(now, full(*one.values())))
+                listed = {drawn.worker: drawn for drawn in data.draw(st.lists(entries, max_size=4))}
+                take(roster.apply_list(now, full(*listed.values())))
             case 1:
                 ages = st.sampled_from([SECOND, HOUR, DAY, None])
                 take(roster.add_saved(now, data.draw(st.lists(st.tuples(entries, ages), max_size=4))))
             case 2:
                 start = data.draw(st.sampled_from([0, 10**8, 4 * 10**8]))
-                drains, heard = data.draw(st.booleans()), data.draw(st.booleans())
+                drains, answered = data.draw(st.booleans()), data.draw(st.booleans())
                 take(
                     roster.record_report(
-                        now, data.draw(names), drains and heard, start if heard else 0, heard
+                        now, data.draw(names), drains and answered, start if answered else 0, answered
                     )
                 )
             case 3:
@@ -313,7 +311,7 @@
                 take(roster.query_ended(now, data.draw(names), False, 0, data.draw(st.booleans())))
             case 5:
                 take(roster.expire_unlisted(now))
-        assert view == {e.worker: e for e in roster.entries()}
+        assert view == {known.worker: known for known in roster.entries()}
 
 
 # In the engine.
@@ -333,7 +331,7 @@
     assert {s.worker for s in only(play.out, ports.Start)} == {"a"}
 
 
-def test_a_flapping_list_costs_no_warm_belief():
+def test_a_list_that_keeps_changing_does_not_lose_estimated_copies():
     play = Play()
     start = only(play.call(), ports.Start)[0]
     play.end(start)
@@ -343,11 +341,11 @@
         play.do(ports.Listed(full(entry("a"), entry("b"), entry("c"))))
         play.wait(200_000, 20_000)
         if not play.engine.router.workers[start.worker].believed("f", play.now):
-            break  # by its idle life, not by the list
+            break  # expired by its idle time, not by the list
     assert play.now - 100_000_000 >= SETTINGS.idle_life_us
 
 
-def test_ten_thousand_replacements_leave_nothing_behind():
+def test_ten_thousand_replaced_workers_leave_no_records():
     play = Play(replace(SETTINGS, cold_us=0), workers=())
     sizes = []
     for number in range(10_000):
@@ -363,15 +361,17 @@
         play.out.clear()
         if number % 1_000 == 999:
             sizes.append(tables(play.engine))
-    assert max(size["workers"] for size in sizes) < 120 and sizes[-1]["roster"] < 120  # 30 s of them linger
+    assert (
+        max(size["workers"] for size in sizes) < 120 and sizes[-1]["roster"] < 120
+    )  # those of 30 s are retained
     for name in ("workers", "functions", "roster", "untried", "timers", "calls", "module_calls", "orders"):
         assert sizes[-1][name] <= max(size[name] for size in sizes[:3]) + 5, name
 
 
-# The store and the client of list services.
+# The store of the saved list, and the client of list services.
 
 
-def test_a_list_that_cannot_be_written_is_told_once_and_survived(tmp_path):
+def test_a_list_that_cannot_be_written_is_logged_once(tmp_path):
     lines, posts = [], []
     roster = Roster()
     store = SavedListStore(
@@ -408,8 +408,8 @@
     assert save() == 10
     roster.apply_list(Clock.now_us(), full())
     assert save() == 10
-    roster.size_since = -trust.COLLAPSE_CONFIRM_US  # it has held for ten minutes
-    assert save() == 10  # empty never does
+    roster.size_since = -trust.COLLAPSE_CONFIRM_US  # the size has been the same for ten minutes
+    assert save() == 10  # an empty list is never saved
     roster.apply_list(Clock.now_us(), full(entry("w0")))
     roster.size_since = -trust.COLLAPSE_CONFIRM_US
     assert save() == 1
@@ -420,7 +420,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_the_client_comes_through_every_fault_of_a_list_server(fault):
+def test_the_client_recovers_from_every_fault_of_a_list_server(fault):
     async def body():
         listing = Listing(Trace("list"), 0.0)
         port = listing.start()
@@ -433,9 +433,9 @@
         )  # fmt: skip
         task = asyncio.ensure_future(service.run())
 
-        async def until(test):
+        async def until(condition):
             for _ in range(1_600):
-                if seen and test(seen[-1]):
+                if seen and condition(seen[-1]):
                     return
                 await asyncio.sleep(0.005)
             raise AssertionError((fault, seen[-1:], lines[-3:]))
@@ -451,16 +451,16 @@
     run(body())
 
 
-def test_what_is_written_to_a_process_that_is_gone_was_told_to_nobody_and_a_new_one_is_told_all():
-    # The checker held a gateway to a `gone` that had gone to the process killed before it was started, and
-    # not to a `draining` that the new process was told as the old one had been.
+def test_the_stand_in_records_only_updates_that_a_live_process_received():
+    # A `gone` that was written to a killed process was counted against the gateway that replaced it, and a
+    # `draining` that both processes received was not.
     async def body():
         trace = Trace("list")
         listing = Listing(trace, 0.0)
         port = listing.start()
-        one, two = "127.0.0.1:1000", "127.0.0.1:2000"
-        listing.put(one, now=True, started_ms=0)
-        listing.put(two, "draining", now=True, started_ms=0)
+        replaced, drained = "127.0.0.1:1000", "127.0.0.1:2000"
+        listing.put(replaced, now=True, started_ms=0)
+        listing.put(drained, "draining", now=True, started_ms=0)
 
         async def ask(index, read):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -470,27 +470,27 @@
                 await reader.readuntil(b"]")
             return writer
 
-        def told():
-            return [(e["worker"], e["state"]) for e in trace.kept if e["ev"] == "told"]
+        def received():
+            return [(event["worker"], event["state"]) for event in trace.kept if event["ev"] == "told"]
 
         (await ask(0, read=True)).close()
-        assert told() == [(one, "running"), (two, "draining")]
-        asked = sum(e["ev"] == "list-asked" for e in trace.kept)
+        assert received() == [(replaced, "running"), (drained, "draining")]
+        asked = sum(event["ev"] == "list-asked" for event in trace.kept)
         killed = await ask(listing.index, read=False)
-        for _ in range(400):  # its question waits there for a change
-            if sum(e["ev"] == "list-asked" for e in trace.kept) > asked:
+        for _ in range(400):  # its request waits for a change of the list
+            if sum(event["ev"] == "list-asked" for event in trace.kept) > asked:
                 break
             await asyncio.sleep(0.005)
         killed.close()
         await killed.wait_closed()
-        listing.put(one, "gone", now=True)
+        listing.put(replaced, "gone", now=True)
         for _ in range(400):
             if not listing.server.streams:
                 break
             await asyncio.sleep(0.005)
-        assert not listing.server.streams and len(told()) == 2
-        (await ask(0, read=True)).close()  # the process after it
-        assert told()[2:] == [(two, "draining"), (one, "gone")]
+        assert not listing.server.streams and len(received()) == 2
+        (await ask(0, read=True)).close()  # the process that replaced it
+        assert received()[2:] == [(drained, "draining"), (replaced, "gone")]
         listing.server.stop()
 
     run(body())
@@ -521,10 +521,10 @@
 # The command line.
 
 
-def test_a_list_made_by_hand_is_shown_verified_and_aged(tmp_path):
+def test_a_list_made_from_a_file_is_shown_verified_and_dated(tmp_path):
     workers = tmp_path / "w.kdl"
     workers.write_text('worker "127.0.0.1:1" kind="k"\nworker "127.0.0.1:2" state="draining"\n')
-    call = lambda *words: CliRunner().invoke(main, ["list", *map(str, words)])  # noqa: E731
+    call = lambda *arguments: CliRunner().invoke(main, ["list", *map(str, arguments)])  # noqa: E731
     assert call("make", workers, tmp_path / "state").exit_code == 0
     shown = call("show", tmp_path / "state").output
     assert "127.0.0.1:1" in shown and "draining" in shown
@@ -539,17 +539,17 @@
     assert call("make", workers, tmp_path / "state").exit_code == 2
 
 
-def test_a_second_gateway_on_one_state_folder_is_refused_plainly(tmp_path):
+def test_a_second_gateway_on_one_state_folder_exits_with_an_error(tmp_path):
     site = tmp_path / "s.kdl"
     site.write_text(
         f'state "{tmp_path / "state"}"\nclass "a" wanted-ms=1 deadline-ms=1\nmqtt-listener port=0\n'
         'workers { worker "127.0.0.1:9" }\n'
     )
-    words = [sys.executable, "-m", "swiftwell", "serve", str(site), "--ready"]
-    first = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
+    command = [sys.executable, "-m", "swiftwell", "serve", str(site), "--ready"]
+    first = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     try:
         assert "listener" in first.stdout.readline()
-        second = subprocess.run(words, capture_output=True, text=True, timeout=20, check=False)
+        second = subprocess.run(command, capture_output=True, text=True, timeout=20, check=False)
         assert second.returncode == 1 and "another gateway holds this state folder" in second.stderr
     finally:
         first.terminate()
@@ -557,7 +557,7 @@
     assert first.returncode == 0 and os.path.exists(tmp_path / "state" / "lock")
 
 
-def test_engine_tells_books_made_anew_of_every_worker():
+def test_a_rebuilt_router_is_given_every_worker():
     play = Play()
     play.engine._rebuild()
     play.do()
@@ -565,7 +565,7 @@
     assert isinstance(play.engine.router.workers["a"].entry, io.WorkerEntry)
 
 
-def test_a_gateway_that_starts_without_a_list_takes_that_of_a_peer(tmp_path):
+def test_a_gateway_that_starts_without_a_list_uses_that_of_a_peer(tmp_path):
     from socketbench import Console, gateway, raw_worker, serving
 
     async def body():
@@ -576,17 +576,17 @@
             block = 'list {{ servers "127.0.0.1:{}"; wait-s 1; peers "127.0.0.1:{}" }}'
             health = "health port=0"
             first = gateway(tmp_path / "a", workers=block.format(port, 9), extra=health)
-            async with first as one:
-                console = await Console("a").connect(one.listener_port)
+            async with first as running:
+                console = await Console("a").connect(running.listener_port)
                 assert (await console.call())[0] == "served"
-                second = gateway(tmp_path / "b", workers=block.format(9, one.health_port), extra=health)
-                async with second as two:
-                    other = await Console("b").connect(two.listener_port)
+                second = gateway(tmp_path / "b", workers=block.format(9, running.health_port), extra=health)
+                async with second as started:
+                    other = await Console("b").connect(started.listener_port)
                     for _ in range(10):
                         kind, _ = await other.call(timeout=900)
                         if kind == "served":
                             break
-                    assert kind == "served" and "list-of-peer" in two.lines.getvalue()
+                    assert kind == "served" and "list-of-peer" in started.lines.getvalue()
             listing.server.stop()
 
     run(body())
--- a/tests/test_journal_service.py
+++ b/tests/test_journal_service.py
@@ -1,4 +1,4 @@
-"""The journal service: frames and feed without I/O, the client against a service scripted over loopback."""
+"""The journal client: frames and event numbers without I/O, and the client with a scripted service."""
 
 import asyncio
 import random
@@ -23,18 +23,18 @@
 ZONES, KINDS = ("east",), ("std",)
 
 
-def frames():
+def new_decoder():
     return FrameDecoder(ZONES, KINDS)
 
 
 @given(st.integers(1, 40))
-def test_frames_come_out_whole_however_they_are_split(step):
+def test_frames_are_decoded_however_they_are_split(step):
     data = frame(1, 1, [(7, 80, 0), (8, 81, 1)]) + frame(1) + frame(2, 2, [(7, 80, 2)])
-    reader, found = frames(), []
+    decoder, events = new_decoder(), []
     for at in range(0, len(data), step):
-        found += reader.feed(data[at : at + step])
-    assert [event and (event.number, event.is_full_list) for event in found] == [(1, True), None, (2, False)]
-    assert [(w.id, w.address, w.state) for w in found[0].workers] == [
+        events += decoder.feed(data[at : at + step])
+    assert [event and (event.number, event.is_full_list) for event in events] == [(1, True), None, (2, False)]
+    assert [(worker.id, worker.address, worker.state) for worker in events[0].workers] == [
         ("s-00000007", (HOST, 80), State.READY), ("s-00000008", (HOST, 81), State.DRAINING),
     ]  # fmt: skip
 
@@ -46,34 +46,34 @@
         frame(1, 1, [(7, 80, 9)]), frame(1, 1, [(7, 0, 0)]), b"\0\0\0\x0a" + bytes(10),
     ],
 )  # fmt: skip
-def test_lengths_and_records_that_do_not_fit_are_an_error(data):
+def test_invalid_lengths_and_records_are_an_error(data):
     with pytest.raises(FrameError):
-        frames().feed(data)
+        new_decoder().feed(data)
 
 
-def test_each_event_is_news_once_and_a_gap_is_an_error():
+def test_each_event_is_accepted_once_and_a_gap_is_an_error():
     sequence = EventSequence()
-    whole, change = (journal.Event(number, number == 4, ()) for number in (4, 5))
-    assert sequence.accept(whole) and sequence.accept(change)
-    assert not sequence.accept(whole) and not sequence.accept(change) and sequence.duplicates == 2
+    full_list, change = (journal.Event(number, number == 4, ()) for number in (4, 5))
+    assert sequence.accept(full_list) and sequence.accept(change)
+    assert not sequence.accept(full_list) and not sequence.accept(change) and sequence.duplicates == 2
     with pytest.raises(FrameError):
         sequence.accept(journal.Event(7, False, ()))
     assert sequence.last_number == 5 and sequence.accept(journal.Event(9, True, ()))
 
 
-def test_known_events_and_what_is_wrong_with_them():
+def test_events_of_the_configuration_are_parsed_or_rejected():
     hosts = {"index": 0, "snapshot": True, "endpoints": [endpoint(7, 80)]}
     (event,) = journal.parse_events({"pos": 3, "entries": [{"pos": 3, "hosts": hosts}]})
     assert event.number == 3 and event.is_full_list and event.workers[0].id == "s-00000007"
-    for wrong in (
+    for invalid in (
         {"pos": 3}, {"pos": "3", "entries": []}, {"pos": 4, "entries": [{"pos": 3, "hosts": hosts}]},
         {"pos": 3, "entries": [{}]}, {"pos": 3, "entries": [{"pos": 3, "hosts": {"endpoints": [{}]}}]},
     ):  # fmt: skip
         with pytest.raises(ValueError, match=r"expected|entries"):
-            journal.parse_events(wrong)
+            journal.parse_events(invalid)
 
 
-def test_a_worker_is_its_id_also_where_another_has_its_address():
+def test_a_worker_is_known_by_its_id_even_if_another_takes_its_address():
     addresses, worker = WorkerAddresses(), journal.Worker("s-1", (HOST, 80), State.READY, "", "", 0, 1.0, 0.0)
     addresses.apply(journal.Event(1, True, (worker,)))
     new = journal.Worker("s-2", (HOST, 80), State.READY, "", "", 0, 1.0, 0.0)
@@ -85,17 +85,19 @@
 
 @asynccontextmanager
 async def following(port):
-    told = []
-    client = JournalClient((HOST, port), frames, told.append, lambda *args, **fields: None, random.Random(1))
+    events = []
+    client = JournalClient(
+        (HOST, port), new_decoder, events.append, lambda *args, **fields: None, random.Random(1)
+    )
     client.sequence.last_number = 1
     task = asyncio.ensure_future(client.run())
     try:
-        yield client, told
+        yield client, events
     finally:
         task.cancel()
 
 
-def test_a_break_in_mid_frame_is_asked_for_again_from_the_last_whole_event():
+def test_after_a_break_within_a_frame_the_client_resumes_after_the_last_whole_event():
     async def main():
         async def serve(service, number, writer):
             if len(service.asked) == 1:
@@ -105,14 +107,14 @@
             else:
                 writer.write(frame(2, 2, [(7, 80, 0)]) + frame(3, 2, [(8, 81, 0)]))
 
-        async with Journal(serve) as service, following(service.port) as (_, told):
-            await until(lambda: len(told) == 2)
-            assert service.asked == [1, 2] and [event.number for event in told] == [2, 3]
+        async with Journal(serve) as service, following(service.port) as (_, events):
+            await until(lambda: len(events) == 2)
+            assert service.asked == [1, 2] and [event.number for event in events] == [2, 3]
 
     run(main())
 
 
-def test_silence_while_open_is_noticed_and_asked_about_anew(monkeypatch):
+def test_silence_on_an_open_connection_makes_the_client_reconnect(monkeypatch):
     monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
 
     async def main():
@@ -120,14 +122,14 @@
             if len(service.asked) > 1:
                 writer.write(frame(2, 2, [(7, 80, 1)]))
 
-        async with Journal(serve) as service, following(service.port) as (_, told):
-            await until(lambda: told)
+        async with Journal(serve) as service, following(service.port) as (_, events):
+            await until(lambda: events)
             assert service.asked[:2] == [1, 1]
 
     run(main())
 
 
-def test_frames_that_do_not_fit_and_a_gap_break_the_connection_only():
+def test_invalid_frames_and_a_gap_end_the_connection_only():
     async def main():
         async def serve(service, number, writer):
             if len(service.asked) == 1:
@@ -137,23 +139,23 @@
             else:
                 writer.write(frame(2, 2, [(7, 80, 0)]))
 
-        async with Journal(serve) as service, following(service.port) as (client, told):
-            await until(lambda: told)
+        async with Journal(serve) as service, following(service.port) as (client, events):
+            await until(lambda: events)
             assert service.asked == [1, 1, 1] and client.sequence.last_number == 2
 
     run(main())
 
 
-def test_a_new_address_is_asked_with_the_same_number():
+def test_the_client_resumes_at_a_new_address_with_the_same_number():
     async def main():
         async def serve(service, number, writer):
             writer.write(frame(number + 1, 2, [(number, 80, 0)]))
 
-        async with Journal(serve) as old, Journal(serve) as new, following(old.port) as (client, told):
-            await until(lambda: told)
+        async with Journal(serve) as old, Journal(serve) as new, following(old.port) as (client, events):
+            await until(lambda: events)
             client.reconnect((HOST, new.port))
-            client.reconnect((HOST, new.port))  # also while the first is being handled
-            await until(lambda: len(told) >= 2)
-            assert old.asked == [1] and new.asked[0] == 2 and [e.number for e in told[:2]] == [2, 3]
+            client.reconnect((HOST, new.port))  # once more while the first change is being handled
+            await until(lambda: len(events) >= 2)
+            assert old.asked == [1] and new.asked[0] == 2 and [event.number for event in events[:2]] == [2, 3]
 
     run(main())
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -9,7 +9,7 @@
 from helpers import KEYED, ORDERS, PLAIN, Bench, entry, only
 from platformbench import HOST, Journal, frame, until
 from socketbench import run
-from test_journal_service import frames
+from test_journal_service import new_decoder
 
 from swiftwell import interface as io
 from swiftwell.discovery import journal, staleness
@@ -168,7 +168,7 @@
         began = time.monotonic()
         client = journal.JournalClient(
             (HOST, service.port),
-            frames,
+            new_decoder,
             lambda event: None,
             lambda *a, **f: None,
             random.Random(1),
@@ -245,7 +245,7 @@
         async with Journal(keep_open) as old, Journal(keep_open) as new:
             address = (HOST, old.port)
             client = journal.JournalClient(
-                address, frames, print, lambda *a, **f: None, random.Random(1), list_staleness
+                address, new_decoder, print, lambda *a, **f: None, random.Random(1), list_staleness
             )
             task = asyncio.ensure_future(client.run())
             await until(lambda: old.asked)
@@ -275,7 +275,7 @@
         async with Journal(serve) as service:
             address = (HOST, service.port)
             client = journal.JournalClient(
-                address, frames, print, lambda *a, **f: None, random.Random(1), staleness
+                address, new_decoder, print, lambda *a, **f: None, random.Random(1), staleness
             )
             client.sequence.last_number = 1
             task = asyncio.ensure_future(client.run())
@@ -380,7 +380,7 @@
 
 @pytest.mark.parametrize("status", [Status.RESET, Status.CONNECT_FAILED])
 def test_a_worker_whose_connection_is_reset_or_refused_counts_as_starting(status):
-    """A failed load order doesn't count: a slow connection fails it too; the list or leases show a restart."""
+    """A failed load order doesn't count: a slow connection fails it too; list or leases show a restart."""
     bench = Bench(ORDERS, ("a",))
     bench.call()
     (send,) = only(bench.do(io.Loaded("a", "f", Status.OK, 1_000, 1)), io.Send)
