--- a/tests/outagebench.py
+++ b/tests/outagebench.py
@@ -16,8 +16,8 @@
 from contextlib import AsyncExitStack, asynccontextmanager, suppress
 from dataclasses import dataclass, field
 
-from platformbench import HOST, Front, document, endpoint, fields, frame, read_command, said, settings
-from test_platform import Process, id_
+from platformbench import HOST, Front, document, endpoint, fields, frame, read_command, settings, worker_reply
+from test_platform import RouterProcess, id_
 from test_soak import CoreWaits, Lag
 
 GRACE_S = 0.5
@@ -113,7 +113,7 @@
         if self.hangs:
             return
         if words[0] == b"HELO":
-            writer.write(said(words[1], b"FIT"))
+            writer.write(worker_reply(words[1], b"FIT"))
         elif words[0] == b"SPAWN":
             self._spawn(words, writer)
         elif words[0] == b"FN":
@@ -127,15 +127,15 @@
         wanted = int(told[b"instances"])
         self._note("order" if wanted else "question", words[1])
         if self.draining_since is not None:
-            writer.write(said(words[1], b"WAIT", b"instances=%d" % self.copies.get(told[b"name"], 0)))
+            writer.write(worker_reply(words[1], b"WAIT", b"instances=%d" % self.copies.get(told[b"name"], 0)))
             return
         stands = self.copies[told[b"name"]] = max(wanted, self.copies.get(told[b"name"], 0))
-        writer.write(said(words[1], b"DONE", b"instances=%d" % stands))
+        writer.write(worker_reply(words[1], b"DONE", b"instances=%d" % stands))
 
     def _call(self, words, writer):
         self._note("call", words[1])
         if self.draining_since is not None:
-            writer.write(said(words[1], b"WAIT"))
+            writer.write(worker_reply(words[1], b"WAIT"))
             return
         name = dict(pair.split(b"=") for pair in words[2].split(b","))[b"name"]
         why = b"why=reused" if self.copies.get(name) else b"why=init"
@@ -149,7 +149,7 @@
     async def _work(self, words, writer, why):
         await asyncio.sleep(self.chance.uniform(0.5, 1.5) * self.work_s)
         if not writer.is_closing():
-            writer.write(said(words[1], b"DONE", why, b"did " + words[3]))
+            writer.write(worker_reply(words[1], b"DONE", why, b"did " + words[3]))
 
 
 class ListService:
@@ -345,7 +345,7 @@
             for number in range(self._count):
                 folder = self.folder / f"r{number}"
                 folder.mkdir(parents=True)
-                self.routers.append(stack.enter_context(Process(folder, self.config())))
+                self.routers.append(stack.enter_context(RouterProcess(folder, self.config())))
             for router in self.routers:
                 self._read_log(router)
             await asyncio.gather(*(router.up() for router in self.routers))
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -132,7 +132,7 @@
         return [words for words in self.got if words[0] == b"FN"]
 
 
-def said(id_, word=b"DONE", fields=b"-", body=b""):
+def worker_reply(id_, word=b"DONE", fields=b"-", body=b""):
     """An answer, in bytes."""
     return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(one), one) for one in (id_, word, fields, body))
 
@@ -140,9 +140,9 @@
 async def echo(worker, writer, words):
     """Every request is served with its own body."""
     if words[0] == b"FN":
-        writer.write(said(words[1], b"DONE", b"why=reused", b"did " + words[3]))
+        writer.write(worker_reply(words[1], b"DONE", b"why=reused", b"did " + words[3]))
     elif words[0] == b"SPAWN":
-        writer.write(said(words[1], b"DONE", b"instances=1"))
+        writer.write(worker_reply(words[1], b"DONE", b"instances=1"))
 
 
 async def reset(worker, writer, words):
@@ -267,7 +267,7 @@
     raise AssertionError("it never came to hold")
 
 
-def held_back():
+def gated_echo():
     """An event, and a worker's play that answers nothing until it is set."""
     event = asyncio.Event()
 
--- a/tests/test_connection_floods.py
+++ b/tests/test_connection_floods.py
@@ -16,14 +16,14 @@
     echo,
     fields,
     frame,
-    held_back,
+    gated_echo,
     request,
     router,
     until,
 )
 from socketbench import run
 from test_endings import reset_at_close
-from test_platform import Process, id_
+from test_platform import RouterProcess, id_
 from tornado.iostream import IOStream
 
 from swiftwell.fronts.fastcgi import acceptor
@@ -113,7 +113,7 @@
 
 def test_connections_in_use_are_passed_over_when_room_is_made(tmp_path):
     async def main():
-        held, slow = held_back()
+        held, slow = gated_echo()
         async with (
             Worker(slow) as worker,
             router(tmp_path, [worker.port]) as node,
@@ -189,7 +189,7 @@
 
         async with Worker(echo) as one, Worker(echo) as two, Journal(serve) as journal:
             port = journal.port
-            with Process(tmp_path, document([one.port], port, sockets)) as process:
+            with RouterProcess(tmp_path, document([one.port], port, sockets)) as process:
                 resource.prlimit(process.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
                 assert await process.up() == 200
                 await until(lambda: journal.asked)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,12 +28,12 @@
     frame,
     request,
     router,
-    said,
     settings,
     until,
+    worker_reply,
 )  # fmt: skip
 from socketbench import run
-from test_platform import Process, id_
+from test_platform import RouterProcess, id_
 from test_resp import ID, OTHER, Play
 
 from swiftwell.discovery import journal
@@ -351,7 +351,7 @@
             reset_at_close(writer.get_extra_info("socket"))
             writer.transport.abort()
         else:
-            writer.write(said(id_, word))
+            writer.write(worker_reply(id_, word))
 
 
 @pytest.mark.parametrize("stall_s", [0.0, 0.2])
@@ -426,7 +426,7 @@
 
 
 async def _large(worker, writer, words):
-    writer.write(said(words[1], b"DONE", b"why=reused", b"y" * 200_000))
+    writer.write(worker_reply(words[1], b"DONE", b"why=reused", b"y" * 200_000))
 
 
 def test_large_answers_of_one_turn_reach_a_client_that_reads(tmp_path, monkeypatch):
@@ -596,7 +596,7 @@
 
         async with Worker(never) as worker:
             long = patient(deadline_ms=20_000.0)
-            with Process(tmp_path, document([worker.port], settings=long)) as one:
+            with RouterProcess(tmp_path, document([worker.port], settings=long)) as one:
                 assert await one.up() == 200
                 async with Front(one.port) as front:
                     front.writer.write(request(1, fields(id_(1), wait="20000")))
--- a/tests/test_keyed_and_spoilt.py
+++ b/tests/test_keyed_and_spoilt.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from platformbench import Front, Journal, Worker, echo, fields, frame, router, said, until
+from platformbench import Front, Journal, Worker, echo, fields, frame, router, until, worker_reply
 from socketbench import run
 from test_endings import Following, Gate, _frames, patient
 from test_platform import id_
@@ -35,7 +35,7 @@
                 began.append(time.monotonic())
                 (whole,) = _frames().feed(frame(2, 1, [(2, gate.port, 0)]))
                 node._apply_event(whole)  # from now on there is only the other worker, which is at a gate
-                writer.write(said(words[1], b"BROKE"))  # it may have run
+                writer.write(worker_reply(words[1], b"BROKE"))  # it may have run
 
         async with (
             Worker(fails) as worker,
@@ -58,7 +58,7 @@
     async def main():
         async def play(worker, writer, words):
             if len(worker.runs()) == 2:
-                writer.write(said(worker.runs()[0][1], b"DONE", b"-", b"good") + b"*4\r\n$-1\r\n")
+                writer.write(worker_reply(worker.runs()[0][1], b"DONE", b"-", b"good") + b"*4\r\n$-1\r\n")
 
         async with Worker(play) as worker:
             link = Play({"w": worker.port})
--- a/tests/test_left_clients.py
+++ b/tests/test_left_clients.py
@@ -10,7 +10,7 @@
 import time
 
 import uvloop
-from platformbench import Front, Worker, echo, fields, request, router, said, until
+from platformbench import Front, Worker, echo, fields, request, router, until, worker_reply
 from test_endings import patient, reset_at_close, waiting_at_a_gate
 from test_platform import id_
 from test_request_deadlines import connect
@@ -96,7 +96,7 @@
     async def main():
         async def answers(worker, writer, words):
             if words[0] == b"FN":
-                writer.write(said(words[1], b"DONE", b"-", b""))
+                writer.write(worker_reply(words[1], b"DONE", b"-", b""))
 
         async with (
             Worker(answers) as worker,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,10 +7,22 @@
 
 import pytest
 from helpers import PLAIN, Bench, entry, only
-from platformbench import HOST, Front, Worker, document, echo, fields, held_back, request, router, said, until
+from platformbench import (
+    HOST,
+    Front,
+    Worker,
+    document,
+    echo,
+    fields,
+    gated_echo,
+    request,
+    router,
+    until,
+    worker_reply,
+)
 from socketbench import run
 from test_failing_calls import believed
-from test_platform import Process, id_
+from test_platform import RouterProcess, id_
 from test_request_deadlines import connect
 from test_resp import OTHER, Play
 
@@ -37,7 +49,7 @@
 
 def test_a_request_on_a_connection_that_finds_no_room_is_refused_and_not_dropped(tmp_path):
     async def main():
-        held, slow = held_back()
+        held, slow = gated_echo()
         async with Worker(slow) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as busy:
             busy.writer.write(request(1, fields(id_(1))))
             await until(lambda: node.front.ids)
@@ -118,7 +130,7 @@
 
 def test_the_router_listens_on_its_own_address_only(tmp_path):
     async def main():
-        with Process(tmp_path, document([9])) as one:
+        with RouterProcess(tmp_path, document([9])) as one:
             assert await one.up() == 200
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(("127.0.0.2", one.port))
@@ -209,7 +221,7 @@
 
 def test_the_33rd_open_request_of_a_connection_is_turned_away_and_the_32_are_served(tmp_path):
     async def main():
-        held, slow = held_back()
+        held, slow = gated_echo()
         async with Worker(slow) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             for number in range(1, 34):
                 front.writer.write(request(number, fields(id_(number), wait="5000")))
@@ -258,7 +270,9 @@
     async def main():
         async def lacks_then_answers(worker, writer, words):
             if words[0] == b"FN" and len(worker.runs()) == 1:
-                writer.write(said(words[1], b"LACK") + said(words[1], b"DONE", b"-", b"stale"))
+                writer.write(
+                    worker_reply(words[1], b"LACK") + worker_reply(words[1], b"DONE", b"-", b"stale")
+                )
             else:
                 await echo(worker, writer, words)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,8 +23,8 @@
     request,
     reset,
     router,
-    said,
     until,
+    worker_reply,
 )  # fmt: skip
 from socketbench import run
 
@@ -67,7 +67,7 @@
 def test_a_refusal_says_when_to_come_back_and_nothing_ran(tmp_path):
     async def main():
         async def full(worker, writer, words):
-            writer.write(said(words[1], b"WAIT"))
+            writer.write(worker_reply(words[1], b"WAIT"))
 
         async with Worker(full) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             began = time.monotonic()
@@ -83,7 +83,7 @@
 def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(tmp_path, band, tries):
     async def main():
         async def broke(worker, writer, words):
-            writer.write(said(words[1], b"BROKE"))
+            writer.write(worker_reply(words[1], b"BROKE"))
 
         async with (
             Worker(broke) as one,
@@ -117,7 +117,7 @@
 def test_an_unsafe_request_goes_on_where_it_is_known_not_to_have_run(tmp_path):
     async def main():
         async def lack(worker, writer, words):
-            writer.write(said(words[1], b"LACK"))
+            writer.write(worker_reply(words[1], b"LACK"))
 
         async with (
             Worker(lack) as one,
@@ -263,7 +263,7 @@
     async def main():
         async def large(worker, writer, words):
             size = 10 if words[1].decode() == id_(99) else 200_000
-            writer.write(said(words[1], b"DONE", b"-", b"x" * size))
+            writer.write(worker_reply(words[1], b"DONE", b"-", b"x" * size))
 
         async with Worker(large) as worker, router(tmp_path, [worker.port]) as node:
             _reader, writer = await asyncio.open_connection(HOST, node.port, limit=1)
@@ -378,7 +378,7 @@
         )
 
 
-class Process:
+class RouterProcess:
     """A router in a process of its own."""
 
     def __init__(self, folder, found):
@@ -423,7 +423,7 @@
             await echo(worker, writer, words)
 
         async with Worker(slow) as worker:
-            with Process(tmp_path, document([worker.port])) as one:
+            with RouterProcess(tmp_path, document([worker.port])) as one:
                 assert await one.up() == 200
                 async with Front(one.port) as front:
                     front.writer.write(request(1, fields(id_(1))))
@@ -439,7 +439,7 @@
 
 def test_sighup_before_and_after_the_start_ends_nobody(tmp_path):
     async def main():
-        with Process(tmp_path, document([9])) as one:
+        with RouterProcess(tmp_path, document([9])) as one:
             await until(lambda: b"EARLY" in _handlers(one.process.pid))
             one.process.send_signal(signal.SIGHUP)
             assert await one.up() == 200
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platformbench import HOST, Worker, echo, reset, said, until
+from platformbench import HOST, Worker, echo, reset, until, worker_reply
 from socketbench import run
 
 from swiftwell.fronts.trigger import Ran, Trigger
@@ -22,7 +22,7 @@
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=4), st.integers(1, 9))
 def test_answers_come_out_whole_however_they_are_split(bodies, step):
-    data = b"".join(said(b"%d" % at, b"DONE", b"-", body) for at, body in enumerate(bodies))
+    data = b"".join(worker_reply(b"%d" % at, b"DONE", b"-", body) for at, body in enumerate(bodies))
     parser, found = Parser(), []
     for at in range(0, len(data), step):
         found += parser.feed(data[at : at + step])
@@ -229,8 +229,8 @@
 def test_second_copies_and_unknown_ids_are_passed_over():
     async def main():
         async def twice(worker, writer, words):
-            writer.write(said(b"f" * 16, b"DONE", b"-", b"not mine"))
-            writer.write(said(words[1], b"DONE", b"-", b"mine") * 2)
+            writer.write(worker_reply(b"f" * 16, b"DONE", b"-", b"not mine"))
+            writer.write(worker_reply(words[1], b"DONE", b"-", b"mine") * 2)
 
         async with Worker(twice) as worker:
             play = Play({"w": worker.port})
@@ -248,12 +248,12 @@
     async def main():
         async def slow(worker, writer, words):
             if words[0] == b"FN" and len(worker.runs()) == 2:
-                worker.first.write(said(words[1], b"DONE", b"-", b"first"))
+                worker.first.write(worker_reply(words[1], b"DONE", b"-", b"first"))
                 await asyncio.sleep(0.05)
-                writer.write(said(words[1], b"DONE", b"-", b"second"))
+                writer.write(worker_reply(words[1], b"DONE", b"-", b"second"))
             elif words[0] == b"FN":
                 worker.first = writer
-                writer.write(said(b"1" * 16, b"DONE"))  # it is not silent
+                writer.write(worker_reply(b"1" * 16, b"DONE"))  # it is not silent
 
         async with Worker(slow) as worker:
             play = Play({"w": worker.port}, connections=2)
@@ -309,7 +309,7 @@
     async def main():
         async def talk(worker, writer, words):
             if words[0] == b"FN" and words[1] == ID.encode():
-                writer.write(said(b"1" * 16, b"DONE"))  # it is not silent
+                writer.write(worker_reply(b"1" * 16, b"DONE"))  # it is not silent
 
         async with Worker(talk) as worker:
             play = Play({"w": worker.port}, connections=1)
@@ -472,7 +472,7 @@
     async def main():
         async def first(worker, writer, words):
             if words[2].endswith(b"instances=2"):
-                writer.write(said(words[1], b"WAIT", b"instances=1"))
+                writer.write(worker_reply(words[1], b"WAIT", b"instances=1"))
 
         async with Worker(first) as worker:
             play = Play({"w": worker.port}, order_s=0.1)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,14 +9,14 @@
 import pytest
 from platformbench import Front, Worker, document, echo, fields, request, settings
 from socketbench import run
-from test_platform import Process, id_
+from test_platform import RouterProcess, id_
 
 from swiftwell.platform.shutdown import LAST_REQUEST_S, ShutdownSchedule
 
 CLIENTS = 20
 
 
-def short(deadline_ms):
+def settings_with_deadline(deadline_ms):
     found = settings()
     for request_class in found["lanes"]:
         request_class |= {"target-ms": deadline_ms / 2, "deadline-ms": deadline_ms}
@@ -53,7 +53,9 @@
 async def hammered(folder, deadline_ms, play):
     """What clients saw of a router that got SIGTERM while they were at it."""
     async with Worker(play) as worker:
-        with Process(folder, document([worker.port], settings=short(deadline_ms))) as one:
+        with RouterProcess(
+            folder, document([worker.port], settings=settings_with_deadline(deadline_ms))
+        ) as one:
             assert await one.up() == 200
             clients = [Hammer(one.port, number, deadline_ms) for number in range(1, CLIENTS + 1)]
             tasks = [asyncio.ensure_future(client.run()) for client in clients]
@@ -83,7 +85,9 @@
 def test_a_request_whose_last_byte_comes_while_the_router_stops_is_answered(tmp_path):
     async def main():
         async with Worker(echo) as worker:
-            with Process(tmp_path, document([worker.port], settings=short(2_000))) as one:
+            with RouterProcess(
+                tmp_path, document([worker.port], settings=settings_with_deadline(2_000))
+            ) as one:
                 assert await one.up() == 200
                 async with Front(one.port) as front, Front(one.port) as idle:
                     whole = request(1, fields(id_(1), wait="2000"))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 
 import pytest
-from platformbench import HOST, Front, Worker, document, fields, request, said
-from test_platform import Process, id_
-from test_shutdown import short
+from platformbench import HOST, Front, Worker, document, fields, request, worker_reply
+from test_platform import RouterProcess, id_
+from test_shutdown import settings_with_deadline
 
 from swiftwell.platform.shutdown import LAST_REQUEST_S, MAX_DEADLINE_S
 
@@ -99,7 +99,7 @@
         answer = self.chance.choices((b"DONE", b"WAIT", b"BROKE", b"LACK"), (90, 4, 3, 3))[0]
         if answer in (b"WAIT", b"LACK"):
             self.ran[words[1]] -= unsafe  # it never ran
-        writer.write(said(words[1], answer, b"-", b"body"))
+        writer.write(worker_reply(words[1], answer, b"-", b"body"))
 
 
 class Lag:
@@ -182,8 +182,8 @@
     calc, over, lag = Calc(chance), asyncio.Event(), Lag()
     watch = asyncio.ensure_future(lag.watch())
     async with Worker(calc.play) as one, Worker(calc.play) as two:
-        told = document([one.port, two.port], settings=short(deadline_ms))
-        with Process(folder, told) as router:
+        told = document([one.port, two.port], settings=settings_with_deadline(deadline_ms))
+        with RouterProcess(folder, told) as router:
             assert await router.up() == 200
             waits = CoreWaits("self", router.process.pid)
             counting = asyncio.ensure_future(waits.watch())
--- a/tests/test_start_and_reload.py
+++ b/tests/test_start_and_reload.py
@@ -6,12 +6,12 @@
 from platformbench import HOST, Worker, document, echo, router, until
 from socketbench import run
 from test_endings import Following
-from test_platform import Process
+from test_platform import RouterProcess
 
 
 def test_a_port_that_is_still_taken_at_our_start_is_tried_again(tmp_path):
     async def main():
-        with Process(tmp_path, document([9])) as one:
+        with RouterProcess(tmp_path, document([9])) as one:
             with socket.create_server((HOST, one.port)):
                 line = one.process.stderr.readline()
                 assert b"listen" in line and one.process.poll() is None
