--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -1,5 +1,7 @@
-"""A router of the platform in this process on free ports; workers, clients and the journal service are
-scripted by the test.  Commands of workers are read by a reader of its own, not by the codec under test."""
+"""A platform router in this process on free ports; tests script its workers, clients and journal service.
+
+Commands to workers are parsed here, not by the codec under test.
+"""
 
 import asyncio
 import io as text
@@ -18,9 +20,9 @@
 
 
 def settings(**more):
-    """The settings as the platform nests them."""
+    """The settings in the platform's JSON form."""
 
-    def band(name, effect):
+    def lane(name, effect):
         return {"name": name, "effect": effect, "target-ms": 400.0, "deadline-ms": 1500.0, "value": 2.0}
 
     return {
@@ -32,7 +34,7 @@
         "flavors": ["std", "big"],
         "locality": "east",
         "discovery": "pushed",
-        "lanes": [band("lectura", "idempotent"), band("consigna", "at_most_once")],
+        "lanes": [lane("lectura", "idempotent"), lane("consigna", "at_most_once")],
         "family-info": {"idle-life-ms": 5000.0, "may-load": False, "memory-mb-by-kind": [8000.0, 9000.0]},
         "limits": {"cancel": True, "max-attempts": 3, "retry-after": True, "max-retry-after-ms": 2000.0,
                    "streams-per-conn": 32, "conn-idle-ms": 30000.0, "dial-timeout-ms": 250.0},
@@ -47,7 +49,7 @@
 
 
 def document(ports=(), journal=9, sockets=256, **more):
-    """EDGE_CONFIG for workers at these ports, numbered from 1."""
+    """The configuration (EDGE_CONFIG) for workers at these ports, numbered from 1."""
     endpoints = [endpoint(number, port) for number, port in enumerate(ports, 1)]
     entries = [{"pos": 1, "hosts": {"index": 0, "snapshot": True, "endpoints": endpoints}}]
     return {
@@ -60,14 +62,14 @@
 
 @asynccontextmanager
 async def router(folder, ports=(), **more):
-    """A router that knows workers at these ports."""
+    """A running router whose configuration lists workers at these ports."""
     file = folder / "config.json"
-    found = document(ports, **more)
-    file.write_text(json.dumps(found))
+    configuration = document(ports, **more)
+    file.write_text(json.dumps(configuration))
     log = text.StringIO()
-    told = config.read(file.read_bytes(), str(file))
-    node = Node(told, str(file), Logs("json", "debug", 1_000, log))
-    node.platform = replace(told, listen_address=(HOST, 0))
+    platform = config.read(file.read_bytes(), str(file))
+    node = Node(platform, str(file), Logs("json", "debug", 1_000, log))
+    node.platform = replace(platform, listen_address=(HOST, 0))
     node.lines, node.file = log, file
     await node.start()
     node.port = node.front.port
@@ -83,8 +85,8 @@
         await asyncio.sleep(0)
 
 
-class Served:
-    """A service on a free port; `_serve` takes each connection."""
+class Server:
+    """A server on a free port; `_serve` handles each connection."""
 
     def __init__(self):
         self.writers = []
@@ -101,16 +103,16 @@
 
 
 async def read_command(reader):
-    """The words of the next command to a worker."""
-    words = []
+    """Reads the arguments of the next command to a worker."""
+    arguments = []
     for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
         size = int((await reader.readuntil(b"\r\n"))[1:])
-        words.append((await reader.readexactly(size + 2))[:-2])
-    return words
+        arguments.append((await reader.readexactly(size + 2))[:-2])
+    return arguments
 
 
-class Worker(Served):
-    """A worker that answers commands as `play` says: it takes (worker, connection, words) and may write."""
+class Worker(Server):
+    """A worker whose commands are handled by `play`, called with (worker, connection, arguments)."""
 
     def __init__(self, play):
         super().__init__()
@@ -121,63 +123,64 @@
         self.writers.append(writer)
         try:
             while True:
-                words = await read_command(reader)
-                self.got.append(words)
-                await self.play(self, writer, words)
+                arguments = await read_command(reader)
+                self.got.append(arguments)
+                await self.play(self, writer, arguments)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
     def runs(self):
-        """The requests that came, without KILL and the like."""
-        return [words for words in self.got if words[0] == b"FN"]
+        """The requests received, without other commands such as KILL."""
+        return [arguments for arguments in self.got if arguments[0] == b"FN"]
 
 
-def worker_reply(id_, word=b"DONE", fields=b"-", body=b""):
-    """An answer, in bytes."""
-    return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(one), one) for one in (id_, word, fields, body))
+def worker_reply(id_, status=b"DONE", fields=b"-", body=b""):
+    """Encodes a worker's answer."""
+    return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in (id_, status, fields, body))
 
 
-async def echo(worker, writer, words):
-    """Every request is served with its own body."""
-    if words[0] == b"FN":
-        writer.write(worker_reply(words[1], b"DONE", b"why=reused", b"did " + words[3]))
-    elif words[0] == b"SPAWN":
-        writer.write(worker_reply(words[1], b"DONE", b"instances=1"))
+async def echo(worker, writer, arguments):
+    """Answers every request with its own body."""
+    if arguments[0] == b"FN":
+        writer.write(worker_reply(arguments[1], b"DONE", b"why=reused", b"did " + arguments[3]))
+    elif arguments[0] == b"SPAWN":
+        writer.write(worker_reply(arguments[1], b"DONE", b"instances=1"))
 
 
-async def reset(worker, writer, words):
-    """Every request's connection is reset."""
+async def reset(worker, writer, arguments):
+    """Resets the connection of every request."""
     writer.transport.abort()
 
 
 def fields(id_, band="lectura", wait="1000", **more):
-    """The parameters of a usual request; a value of None leaves one out."""
-    found = {
+    """The parameters of an ordinary request; one with the value None is left out."""
+    parameters = {
         "SCRIPT_NAME": f"/api/v2/{band}", "REQUEST_METHOD": "POST", "HTTP_REQ_ID": id_,
         "HTTP_REQ_WAIT_MS": wait, "HTTP_REQ_OWNER": "acme", "HTTP_REQ_KEY": KEY, "HTTP_REQ_COST": "8.2",
         "HTTP_X_TAGS": "memory_mb:512;lanes:2;load_ms:300", **more,
     }  # fmt: skip
-    return {name: value for name, value in found.items() if value is not None}
+    return {name: value for name, value in parameters.items() if value is not None}
 
 
-def params(found):
+def params(parameters):
+    """Encodes parameters."""
     return b"".join(
         codec.pair(name.encode(), value if isinstance(value, bytes) else value.encode())
-        for name, value in found.items()
+        for name, value in parameters.items()
     )
 
 
-def request(number, found, body=b""):
-    """A whole request, in bytes."""
-    out = [codec.begin(number), codec.record(codec.PARAMS, number, params(found))]
-    out.append(codec.record(codec.PARAMS, number, b""))
+def request(number, parameters, body=b""):
+    """Encodes a whole request."""
+    records = [codec.begin(number), codec.record(codec.PARAMS, number, params(parameters))]
+    records.append(codec.record(codec.PARAMS, number, b""))
     if body:
-        out.append(codec.record(codec.STDIN, number, body))
-    return b"".join([*out, codec.record(codec.STDIN, number, b"")])
+        records.append(codec.record(codec.STDIN, number, body))
+    return b"".join([*records, codec.record(codec.STDIN, number, b"")])
 
 
 class Front:
-    """A connection of a front server."""
+    """A FastCGI connection from a front server."""
 
     def __init__(self, port):
         self.port, self._parts, self.done, self.ends = port, {}, {}, {}
@@ -190,7 +193,7 @@
         self.writer.close()
 
     async def read(self, until):
-        """Read until a condition holds or the router closes; whether it holds."""
+        """Reads until a condition holds or the router closes; returns whether it holds."""
         while not until():
             try:
                 version, kind, number, length, padding = struct.unpack(
@@ -208,9 +211,9 @@
                 self.ends[number] = content[4]
         return True
 
-    async def ask(self, number, found, body=b""):
-        """Status, fields and body of the answer; status 0 where the router closed."""
-        self.writer.write(request(number, found, body))
+    async def ask(self, number, parameters, body=b""):
+        """Sends a request; returns status, headers and body, with status 0 if the router closed."""
+        self.writer.write(request(number, parameters, body))
         return await self.answer(number)
 
     async def answer(self, number):
@@ -220,17 +223,17 @@
         if not raw:
             return -self.ends[number], {}, b""
         head, _, body = raw.partition(b"\r\n\r\n")
-        lines = dict(line.split(": ", 1) for line in head.decode().split("\r\n"))
-        return int(lines["Status"].split()[0]), lines, body
+        headers = dict(line.split(": ", 1) for line in head.decode().split("\r\n"))
+        return int(headers["Status"].split()[0]), headers, body
 
     async def closed(self):
-        """Whether the router closes the connection."""
+        """Waits until the router closes the connection; returns whether it did."""
         await self.read(lambda: False)
         return self.reader.at_eof()
 
 
-class Journal(Served):
-    """The journal service: `serve` takes (journal, number asked for, writer) at each connection."""
+class Journal(Server):
+    """A journal service; `serve` handles each connection, called with (journal, last number, writer)."""
 
     def __init__(self, serve):
         super().__init__()
@@ -247,7 +250,7 @@
 
 
 def frame(number, kind=0, records=(), since_ms=0):
-    """A frame; records are (id, port, state), all started at `since_ms`."""
+    """Encodes a frame; records are (id, port, state), all started at `since_ms`."""
     payload = b"".join(
         struct.pack(">I4sHBBBHIQ", id_, bytes((127, 0, 0, 1)), port, state, 0, 0, 0, 1000, since_ms)
         for id_, port, state in records
@@ -255,24 +258,24 @@
     return struct.pack(">IQB", 9 + len(payload), number, kind) + payload
 
 
-FIRST_BYTES = codec.record(codec.GET_VALUES, 0, b"")  # a record that opens a connection and asks nothing
+FIRST_BYTES = codec.record(codec.GET_VALUES, 0, b"")  # a record that opens a connection without a request
 
 
-async def until(holds, within=5.0):
-    """Wait until a condition holds."""
-    for _ in range(int(within / 0.01)):
-        if holds():
+async def until(condition, timeout_s=5.0):
+    """Waits until a condition holds."""
+    for _ in range(int(timeout_s / 0.01)):
+        if condition():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("it never came to hold")
+    raise AssertionError("the condition did not hold in time")
 
 
 def gated_echo():
-    """An event, and a worker's play that answers nothing until it is set."""
+    """An event, and a `play` for a worker that answers nothing until the event is set."""
     event = asyncio.Event()
 
-    async def play(worker, writer, words):
+    async def play(worker, writer, arguments):
         await event.wait()
-        await echo(worker, writer, words)
+        await echo(worker, writer, arguments)
 
     return event, play
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The router of the platform on loopback sockets: clients, workers and the journal service are scripted."""
+"""The platform router on loopback sockets, with scripted clients, workers and journal service."""
 
 import asyncio
 import json
@@ -45,14 +45,14 @@
             for number, body in enumerate((b"", bytes(range(256)) * 64), 1):
                 status, _, answer = await front.ask(number, fields(id_(number)), body)
                 assert (status, answer) == (200, b"did " + body)
-            assert [words[1].decode() for words in worker.runs()] == [id_(1), id_(2)]
-            assert [words[3] for words in worker.runs()] == [b"", bytes(range(256)) * 64]
+            assert [arguments[1].decode() for arguments in worker.runs()] == [id_(1), id_(2)]
+            assert [arguments[3] for arguments in worker.runs()] == [b"", bytes(range(256)) * 64]
             assert node.engine.ledger is None and not node.front.ids
 
     run(main())
 
 
-def test_health_says_whether_it_can_serve(tmp_path):
+def test_the_health_check_reports_whether_the_router_can_serve(tmp_path):
     async def main():
         async with router(tmp_path, [9]) as node, Front(node.port) as front:
             assert (await front.ask(1, {"SCRIPT_NAME": "/-/healthy"}))[0] == 200
@@ -64,78 +64,80 @@
     run(main())
 
 
-def test_a_refusal_says_when_to_come_back_and_nothing_ran(tmp_path):
+def test_a_refusal_names_a_retry_time_and_nothing_ran(tmp_path):
     async def main():
-        async def full(worker, writer, words):
-            writer.write(worker_reply(words[1], b"WAIT"))
+        async def full(worker, writer, arguments):
+            writer.write(worker_reply(arguments[1], b"WAIT"))
 
         async with Worker(full) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             began = time.monotonic()
-            status, told, _ = await front.ask(1, fields(id_(1), "consigna"))
-            assert status == 503 and int(told["Srv-Wait-Ms"]) >= 1
-            assert time.monotonic() - began < 1.0  # it is not held back to the deadline
+            status, headers, _ = await front.ask(1, fields(id_(1), "consigna"))
+            assert status == 503 and int(headers["Srv-Wait-Ms"]) >= 1
+            assert time.monotonic() - began < 1.0  # the answer does not wait for the deadline
             assert worker.runs()
 
     run(main())
 
 
-@pytest.mark.parametrize("band, tries", [("consigna", 1), ("lectura", 3)])
-def test_an_unsafe_request_is_not_sent_again_once_it_may_have_run(tmp_path, band, tries):
+@pytest.mark.parametrize("request_class, tries", [("consigna", 1), ("lectura", 3)])
+def test_an_unsafe_request_is_not_retried_once_it_may_have_run(tmp_path, request_class, tries):
     async def main():
-        async def broke(worker, writer, words):
-            writer.write(worker_reply(words[1], b"BROKE"))
+        async def broke(worker, writer, arguments):
+            writer.write(worker_reply(arguments[1], b"BROKE"))
 
         async with (
-            Worker(broke) as one,
-            Worker(broke) as two,
-            Worker(broke) as three,
-            router(tmp_path, [one.port, two.port, three.port]) as node,
+            Worker(broke) as first,
+            Worker(broke) as second,
+            Worker(broke) as third,
+            router(tmp_path, [first.port, second.port, third.port]) as node,
             Front(node.port) as front,
         ):
-            status, told, _ = await front.ask(1, fields(id_(1), band))
-            assert sum(len(worker.runs()) for worker in (one, two, three)) == tries
-            # An unsafe one is no refusal either: a refusal would say that a retry is harmless.
-            assert status == (502 if band == "consigna" else 503) and ("Srv-Wait-Ms" in told) == (tries > 1)
+            status, headers, _ = await front.ask(1, fields(id_(1), request_class))
+            assert sum(len(worker.runs()) for worker in (first, second, third)) == tries
+            # An unsafe request is not refused either, as a refusal tells the client that a retry is safe.
+            assert status == (502 if request_class == "consigna" else 503) and ("Srv-Wait-Ms" in headers) == (
+                tries > 1
+            )
 
     run(main())
 
 
-def test_a_reset_under_an_unsafe_request_is_a_failure_and_no_second_send(tmp_path):
+def test_a_reset_of_an_unsafe_request_is_a_failure_without_a_retry(tmp_path):
     async def main():
         async with (
-            Worker(reset) as one,
-            Worker(echo) as two,
-            router(tmp_path, [one.port]) as node,
+            Worker(reset) as first,
+            Worker(echo) as second,
+            router(tmp_path, [first.port]) as node,
             Front(node.port) as front,
         ):
             assert (await front.ask(1, fields(id_(1), "consigna")))[0] == 502
-            assert len(one.runs()) == 1 and not two.runs()
+            assert len(first.runs()) == 1 and not second.runs()
 
     run(main())
 
 
-def test_an_unsafe_request_goes_on_where_it_is_known_not_to_have_run(tmp_path):
+def test_an_unsafe_request_is_retried_if_it_is_known_not_to_have_run(tmp_path):
     async def main():
-        async def lack(worker, writer, words):
-            writer.write(worker_reply(words[1], b"LACK"))
+        async def lack(worker, writer, arguments):
+            writer.write(worker_reply(arguments[1], b"LACK"))
 
         async with (
-            Worker(lack) as one,
-            Worker(echo) as two,
-            router(tmp_path, [one.port, two.port]) as node,
+            Worker(lack) as first,
+            Worker(echo) as second,
+            router(tmp_path, [first.port, second.port]) as node,
             Front(node.port) as front,
         ):
             statuses = [(await front.ask(n, fields(id_(n), "consigna")))[0] for n in range(1, 9)]
-            assert statuses == [200] * 8 and len(two.runs()) == 8
+            assert statuses == [200] * 8 and len(second.runs()) == 8
 
     run(main())
 
 
-def test_an_abort_is_owed_no_answer_and_frees_its_number(tmp_path):
+def test_an_aborted_request_gets_no_content_and_frees_its_number(tmp_path):
     async def main():
-        async def wait(worker, writer, words):
-            if words[0] == b"FN" and words[1].decode() != id_(1):
-                await echo(worker, writer, words)
+        async def wait(worker, writer, arguments):
+            if arguments[0] == b"FN" and arguments[1].decode() != id_(1):
+                await echo(worker, writer, arguments)
 
         async with Worker(wait) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             front.writer.write(request(1, fields(id_(1))))
@@ -148,11 +150,11 @@
     run(main())
 
 
-def test_the_id_of_an_open_request_is_turned_away_and_never_reaches_a_worker(tmp_path):
+def test_a_request_with_the_id_of_an_open_one_is_rejected_and_never_reaches_a_worker(tmp_path):
     async def main():
-        async def wait(worker, writer, words):
+        async def wait(worker, writer, arguments):
             await asyncio.sleep(0.2)
-            await echo(worker, writer, words)
+            await echo(worker, writer, arguments)
 
         async with (
             Worker(wait) as worker,
@@ -168,7 +170,7 @@
     run(main())
 
 
-BAD = {
+BAD_INPUTS = {
     "noise": b"\xde\xad" * 200,
     "http": b"GET / HTTP/1.1\r\n\r\n",
     "a wrong role": codec.begin(1, role=3),
@@ -187,25 +189,25 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_a_bad_client_gets_an_answer_or_a_close_and_no_worker_sees_it(tmp_path, monkeypatch, name):
-    monkeypatch.setattr(lis, "SWEEP_S", 0.02)  # what is waited for 2 s on the platform comes after 0.2 s here
+@pytest.mark.parametrize("name", BAD_INPUTS)
+def test_a_bad_client_gets_an_answer_or_a_close_and_nothing_reaches_a_worker(tmp_path, monkeypatch, name):
+    monkeypatch.setattr(lis, "SWEEP_S", 0.02)  # time-outs of 2 s on the platform take 0.2 s here
 
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
-            front.writer.write(BAD[name])
+            front.writer.write(BAD_INPUTS[name])
             await front.read(lambda: bool(front.done))
             for raw in front.done.values():
                 assert not raw.startswith(b"Status: 200")
             assert front.done or front.reader.at_eof()
             assert not worker.got
-            async with Front(node.port) as usual:  # and the usual clients are served
-                assert (await usual.ask(1, fields(id_(2))))[0] == 200
+            async with Front(node.port) as other:  # other clients are still served
+                assert (await other.ask(1, fields(id_(2))))[0] == 200
 
     run(main())
 
 
-def test_a_connection_that_has_asked_may_stay_without_asking(tmp_path, monkeypatch):
+def test_a_connection_that_sent_a_request_may_stay_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(lis, "SWEEP_S", 0.02)
 
     async def main():
@@ -217,7 +219,7 @@
     run(main())
 
 
-def test_hundreds_of_silent_connections_do_not_keep_others_out(tmp_path):
+def test_hundreds_of_silent_connections_do_not_block_other_clients(tmp_path):
     async def main():
         async with (
             Worker(echo) as worker,
@@ -236,11 +238,11 @@
     run(main())
 
 
-def test_hundreds_of_requests_and_withdrawals_at_once(tmp_path):
+def test_hundreds_of_requests_and_aborts_at_once(tmp_path):
     async def main():
-        async def slow(worker, writer, words):
+        async def slow(worker, writer, arguments):
             await asyncio.sleep(0.02)
-            await echo(worker, writer, words)
+            await echo(worker, writer, arguments)
 
         async with Worker(slow) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             count = 20
@@ -257,13 +259,13 @@
     run(main())
 
 
-def test_a_client_that_does_not_read_is_closed_and_costs_nothing(tmp_path, monkeypatch):
+def test_a_client_that_does_not_read_is_closed_and_leaves_nothing(tmp_path, monkeypatch):
     monkeypatch.setattr(fc, "MOST_UNSENT", 20_000)
 
     async def main():
-        async def large(worker, writer, words):
-            size = 10 if words[1].decode() == id_(99) else 200_000
-            writer.write(worker_reply(words[1], b"DONE", b"-", b"x" * size))
+        async def large(worker, writer, arguments):
+            size = 10 if arguments[1].decode() == id_(99) else 200_000
+            writer.write(worker_reply(arguments[1], b"DONE", b"-", b"x" * size))
 
         async with Worker(large) as worker, router(tmp_path, [worker.port]) as node:
             _reader, writer = await asyncio.open_connection(HOST, node.port, limit=1)
@@ -279,28 +281,28 @@
     run(main())
 
 
-def test_nothing_new_goes_to_a_worker_that_drains_or_to_one_under_an_old_id(tmp_path):
+def test_nothing_new_goes_to_a_draining_worker_or_to_the_old_id_of_an_address(tmp_path):
     async def main():
         async def serve(service, number, writer):
             if number == 1:
-                writer.write(frame(2, 2, [(1, one.port, 1)]))
+                writer.write(frame(2, 2, [(1, first.port, 1)]))
                 await service.more.wait()
-                # A new worker takes the address of the one that has gone.
-                writer.write(frame(3, 2, [(1, one.port, 2), (3, one.port, 0), (2, two.port, 1)]))
+                # A new worker takes the address of the removed one.
+                writer.write(frame(3, 2, [(1, first.port, 2), (3, first.port, 0), (2, second.port, 1)]))
 
-        async with Worker(echo) as one, Worker(echo) as two, Journal(serve) as service:
+        async with Worker(echo) as first, Worker(echo) as second, Journal(serve) as service:
             service.more = asyncio.Event()
-            async with router(tmp_path, [one.port, two.port], journal=service.port) as node:
+            async with router(tmp_path, [first.port, second.port], journal=service.port) as node:
                 await until(lambda: node.journal.sequence.last_number == 2)
                 async with Front(node.port) as front:
                     for n in range(1, 9):
                         assert (await front.ask(n, fields(id_(n))))[0] == 200
-                    assert not one.runs() and len(two.runs()) == 8
+                    assert not first.runs() and len(second.runs()) == 8
                     service.more.set()
                     await until(lambda: node.journal.sequence.last_number == 3)
                     for n in range(11, 19):
                         assert (await front.ask(n, fields(id_(n))))[0] == 200
-                    assert len(one.runs()) == 8 and len(two.runs()) == 8
+                    assert len(first.runs()) == 8 and len(second.runs()) == 8
                 left = {"s-00000002", "s-00000003"}
                 await until(lambda: set(node.engine.router.workers) == left)
                 assert "s-00000001" not in node.link._workers
@@ -308,18 +310,18 @@
     run(main())
 
 
-def test_sighup_moves_the_journal_and_a_bad_file_is_reported_and_kept(tmp_path):
+def test_sighup_changes_the_journal_address_and_a_bad_file_is_logged_and_ignored(tmp_path):
     async def main():
-        async def nothing(service, number, writer):
+        async def no_event(service, number, writer):
             writer.write(frame(1))
 
-        async def news(service, number, writer):
+        async def one_event(service, number, writer):
             writer.write(frame(2, 2, [(2, worker.port, 0)]))
 
         async with (
             Worker(echo) as worker,
-            Journal(nothing) as old,
-            Journal(news) as new,
+            Journal(no_event) as old,
+            Journal(one_event) as new,
             router(tmp_path, [9], journal=old.port) as node,
         ):
             await until(lambda: old.asked)
@@ -335,19 +337,19 @@
     run(main())
 
 
-def test_a_step_that_fails_does_not_end_all_turns(tmp_path):
-    # The flag that a turn is under way stayed up, and nothing that came after was ever taken in.
+def test_a_failing_step_does_not_stop_the_loop(tmp_path):
+    # The flag for a step in progress stayed set, and no later input was ever processed.
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             step, failed = node.engine.step, []
 
-            def once(*given):
+            def fail_once(*inputs):
                 if not failed:
-                    failed.append(given)
+                    failed.append(inputs)
                     raise AssertionError("planted")
-                return step(*given)
+                return step(*inputs)
 
-            node.engine.step = once
+            node.engine.step = fail_once
             node.wake()
             await until(lambda: failed)
             assert (await front.ask(1, fields(id_(1))))[0] == 200
@@ -355,7 +357,7 @@
     run(main())
 
 
-def test_the_table_of_sizes_is_empty_once_all_is_answered(tmp_path):
+def test_all_tables_are_empty_once_every_call_is_answered(tmp_path):
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node:
             for round_ in range(30):
@@ -370,29 +372,30 @@
     run(main())
 
 
-def test_descriptors_are_divided_with_room_for_the_process_itself():
+def test_descriptors_are_divided_with_a_reserve_for_the_process():
     for sockets in (64, 256, 384, 1_024):
-        share = divide_descriptors(sockets)
+        limits = divide_descriptors(sockets)
         assert (
-            share.clients + share.workers + RESERVED_DESCRIPTORS <= sockets and share.clients >= sockets // 3
+            limits.clients + limits.workers + RESERVED_DESCRIPTORS <= sockets
+            and limits.clients >= sockets // 3
         )
 
 
 class RouterProcess:
-    """A router in a process of its own."""
+    """A router process."""
 
-    def __init__(self, folder, found):
+    def __init__(self, folder, configuration):
         with socket.socket() as free:
             free.bind((HOST, 0))
             self.port = free.getsockname()[1]
         self.file = folder / "config.json"
-        self.file.write_text(json.dumps(found | {"listen": f"{HOST}:{self.port}"}))
+        self.file.write_text(json.dumps(configuration | {"listen": f"{HOST}:{self.port}"}))
         self.start()
 
     def start(self):
-        words = [sys.executable, "-B", "-m", "swiftwell.platform"]
+        command = [sys.executable, "-B", "-m", "swiftwell.platform"]
         environment = os.environ | {"EDGE_CONFIG": str(self.file), "EDGE_NAME": "n0"}
-        self.process = subprocess.Popen(words, env=environment, stderr=subprocess.PIPE)
+        self.process = subprocess.Popen(command, env=environment, stderr=subprocess.PIPE)
 
     def __enter__(self):
         return self
@@ -410,46 +413,46 @@
                     return (await front.ask(1, {"SCRIPT_NAME": "/-/healthy"}))[0]
             except OSError:
                 await asyncio.sleep(0.01)
-        raise AssertionError("it never listened")
+        raise AssertionError("the router did not listen within 10 s")
 
     async def ended(self):
         return await asyncio.to_thread(self.process.wait, 20)
 
 
-def test_sigterm_goes_on_answering_what_comes_and_ends_with_0(tmp_path):
+def test_after_sigterm_the_router_answers_requests_and_exits_with_0(tmp_path):
     async def main():
-        async def slow(worker, writer, words):
+        async def slow(worker, writer, arguments):
             await asyncio.sleep(0.3)
-            await echo(worker, writer, words)
+            await echo(worker, writer, arguments)
 
         async with Worker(slow) as worker:
-            with RouterProcess(tmp_path, document([worker.port])) as one:
-                assert await one.up() == 200
-                async with Front(one.port) as front:
+            with RouterProcess(tmp_path, document([worker.port])) as router_process:
+                assert await router_process.up() == 200
+                async with Front(router_process.port) as front:
                     front.writer.write(request(1, fields(id_(1))))
-                    one.process.send_signal(signal.SIGTERM)
+                    router_process.process.send_signal(signal.SIGTERM)
                     await asyncio.sleep(0.2)
-                    async with Front(one.port) as new:  # new connections keep coming
+                    async with Front(router_process.port) as new:  # new connections still come
                         assert (await new.ask(1, fields(id_(2))))[0] == 200
                     assert (await front.answer(1))[0] == 200
-                assert await one.ended() == 0
+                assert await router_process.ended() == 0
 
     run(main())
 
 
-def test_sighup_before_and_after_the_start_ends_nobody(tmp_path):
+def test_sighup_during_and_after_the_start_does_not_end_the_router(tmp_path):
     async def main():
-        with RouterProcess(tmp_path, document([9])) as one:
-            await until(lambda: b"EARLY" in _handlers(one.process.pid))
-            one.process.send_signal(signal.SIGHUP)
-            assert await one.up() == 200
-            one.process.send_signal(signal.SIGHUP)
-            assert await one.up() == 200
-            one.process.send_signal(signal.SIGTERM)
-            assert await one.ended() == 0
+        with RouterProcess(tmp_path, document([9])) as router_process:
+            await until(lambda: b"EARLY" in _handlers(router_process.process.pid))
+            router_process.process.send_signal(signal.SIGHUP)
+            assert await router_process.up() == 200
+            router_process.process.send_signal(signal.SIGHUP)
+            assert await router_process.up() == 200
+            router_process.process.send_signal(signal.SIGTERM)
+            assert await router_process.ended() == 0
 
     def _handlers(pid):
-        """`EARLY` once the process catches SIGHUP, as its status says."""
+        """`EARLY` once the process catches SIGHUP, by its status file."""
         with open(f"/proc/{pid}/status", encoding="ascii") as file:
             caught = next(int(line.split()[1], 16) for line in file if line.startswith("SigCgt"))
         return b"EARLY" if caught & 1 << signal.SIGHUP - 1 else b""
@@ -458,23 +461,30 @@
 
 
 @pytest.mark.parametrize("text", ["{", json.dumps(document([9]) | {"listen": "x"}), None])
-def test_a_bad_configuration_is_one_line_and_exit_code_2(tmp_path, text):
+def test_a_bad_configuration_gives_one_line_and_exit_code_2(tmp_path, text):
     file = tmp_path / "config.json"
     if text is not None:
         file.write_text(text)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-B", "-m", "swiftwell.platform"],
         env=os.environ | {"EDGE_CONFIG": str(file)}, capture_output=True, text=True, timeout=30,
     )  # fmt: skip
-    assert done.returncode == 2 and str(file) in done.stderr and done.stderr.count("\n") == 1
-
-
-def test_run_imports_no_tools_and_no_other_front():
-    # Memory is as little as 32 MB on the platform.
-    words = "import sys, swiftwell.platform.node; print(*sys.modules)"
-    done = subprocess.run([sys.executable, "-c", words], capture_output=True, text=True, check=True)
-    ours = ("lab", "standins", "cli", "fronts.mqtt", "fronts.amqp", "http")
-    barred = (*(f"swiftwell.{name}" for name in ours), "numpy", "scipy", "matplotlib", "click", "pytest")
-    found = done.stdout.split()
-    assert "swiftwell.choice" in found and not [name for name in found if name.startswith(barred)]
-    assert "prometheus_client" not in found
+    assert result.returncode == 2 and str(file) in result.stderr and result.stderr.count("\n") == 1
+
+
+def test_the_router_imports_no_tools_and_no_other_front():
+    # The platform may grant as little as 32 MB of memory.
+    program = "import sys, swiftwell.platform.node; print(*sys.modules)"
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    unwanted = ("lab", "standins", "cli", "fronts.mqtt", "fronts.amqp", "http")
+    forbidden = (
+        *(f"swiftwell.{name}" for name in unwanted),
+        "numpy",
+        "scipy",
+        "matplotlib",
+        "click",
+        "pytest",
+    )
+    modules = result.stdout.split()
+    assert "swiftwell.choice" in modules and not [name for name in modules if name.startswith(forbidden)]
+    assert "prometheus_client" not in modules
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""EDGE_CONFIG: what is read of it, and the one line that says what is wrong with it."""
+"""The platform's configuration (EDGE_CONFIG): what is read, and the one-line errors."""
 
 import json
 
@@ -8,35 +8,48 @@
 from swiftwell.settings import platform as config
 
 
-def put(found, path, value):
-    *way, last = path.split(".")
-    for name in way:
-        found = found[int(name) if isinstance(found, list) else name]
+def put(document_, path, value):
+    """Sets a value in a document, or removes it if it is None."""
+    *parents, last = path.split(".")
+    for name in parents:
+        document_ = document_[int(name) if isinstance(document_, list) else name]
     if value is None:
-        del found[last]
+        del document_[last]
     else:
-        found[last] = value
+        document_[last] = value
 
 
-def test_the_settings_go_through_the_reader_of_the_wire():
-    told = config.read(json.dumps(document([7001])).encode(), "f")
-    assert [band.name for band in told.settings.classes] == ["lectura", "consigna"]
+def test_the_settings_are_read_by_the_reader_of_the_wire():
+    platform = config.read(json.dumps(document([7001])).encode(), "f")
+    assert [request_class.name for request_class in platform.settings.classes] == ["lectura", "consigna"]
     assert (
-        told.settings.classes[1].effect.name == "UNSAFE" and told.settings.classes[0].deadline_us == 1_500_000
+        platform.settings.classes[1].effect.name == "UNSAFE"
+        and platform.settings.classes[0].deadline_us == 1_500_000
     )
-    assert told.settings.kind_memory_mb == (("std", 8000.0), ("big", 9000.0))
-    assert told.settings.retry_after and told.settings.max_attempts == 3 and not told.settings.second_copies
-    assert (told.streams_per_connection, told.idle_timeout_us, told.connect_timeout_us, told.descriptors) == (
+    assert platform.settings.kind_memory_mb == (("std", 8000.0), ("big", 9000.0))
+    assert (
+        platform.settings.retry_after
+        and platform.settings.max_attempts == 3
+        and not platform.settings.second_copies
+    )
+    assert (
+        platform.streams_per_connection,
+        platform.idle_timeout_us,
+        platform.connect_timeout_us,
+        platform.descriptors,
+    ) == (
         32,
         30_000_000,
         250_000,
         256,
     )
-    assert told.zones == ("east",) and told.kinds == ("std", "big") and len(told.initial_events) == 1
+    assert (
+        platform.zones == ("east",) and platform.kinds == ("std", "big") and len(platform.initial_events) == 1
+    )
 
 
 @pytest.mark.parametrize(
-    "path, value, said",
+    "path, value, message",
     [
         ("seed", "xyz", "f: seed: expected 16 hex digits"),
         ("listen", "nowhere", "f: listen: expected HOST:PORT"),
@@ -63,15 +76,15 @@
         ("known.entries.0.hosts.endpoints.0.status", "asleep", "f: known: entries.0: status 'asleep'"),
     ],
 )
-def test_what_is_wrong_is_named_in_one_line(path, value, said):
-    found = document([7001])
-    put(found, path, value)
+def test_an_error_names_the_path_in_one_line(path, value, message):
+    configuration = document([7001])
+    put(configuration, path, value)
     with pytest.raises(config.ConfigError) as error:
-        config.read(json.dumps(found).encode(), "f")
-    assert str(error.value).startswith(said) and "\n" not in str(error.value)
+        config.read(json.dumps(configuration).encode(), "f")
+    assert str(error.value).startswith(message) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"\xff", b"[]", b"null"])
-def test_what_is_no_object_is_told(data):
+def test_a_file_that_is_no_json_object_is_an_error(data):
     with pytest.raises(config.ConfigError, match="f: "):
         config.read(data, "f")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,5 +1,7 @@
-"""SIGTERM with short deadlines: SIGKILL may come the longest deadline plus 0.7 s after it, and clients go on
-sending on their open connections until then.  A real router process, many clients, a worker that hangs.
+"""Shutdown with short deadlines.
+
+SIGKILL may come the longest deadline plus 0.7 s after SIGTERM, and clients send requests on their open
+connections until then.  The tests run a real router process, many clients and a worker that hangs.
 """
 
 import asyncio
@@ -17,30 +19,32 @@
 
 
 def settings_with_deadline(deadline_ms):
-    found = settings()
-    for request_class in found["lanes"]:
+    changed = settings()
+    for request_class in changed["lanes"]:
         request_class |= {"target-ms": deadline_ms / 2, "deadline-ms": deadline_ms}
-    return found
+    return changed
 
 
-class Hammer:
-    """A client that sends one request after the other on one connection until the router ends it."""
+class SequentialClient:
+    """Sends one request after the other on one connection until the router closes it."""
 
     def __init__(self, port, number, wait_ms):
         self.port, self.number, self.wait_ms = port, number, wait_ms
-        self.answered = self.asked = 0
+        self.answered = self.sent = 0
         self.reset = False
         self.last_sent = self.closed_at = 0.0
 
     async def run(self):
         async with Front(self.port) as front:
             while True:
-                self.asked += 1
+                self.sent += 1
                 self.last_sent = time.monotonic()
                 try:
-                    band = "consigna" if self.asked % 7 == 0 else "lectura"
-                    ask = fields(id_(self.number * 100_000 + self.asked), band, wait=str(self.wait_ms))
-                    status, _, _ = await front.ask(1, ask)
+                    request_class = "consigna" if self.sent % 7 == 0 else "lectura"
+                    parameters = fields(
+                        id_(self.number * 100_000 + self.sent), request_class, wait=str(self.wait_ms)
+                    )
+                    status, _, _ = await front.ask(1, parameters)
                 except ConnectionError:
                     self.reset = True
                     status = 0
@@ -50,55 +54,57 @@
                 self.answered += 1
 
 
-async def hammered(folder, deadline_ms, play):
-    """What clients saw of a router that got SIGTERM while they were at it."""
+async def stopped_under_load(folder, deadline_ms, play):
+    """Sends SIGTERM to a router under load and returns the clients."""
     async with Worker(play) as worker:
         with RouterProcess(
             folder, document([worker.port], settings=settings_with_deadline(deadline_ms))
-        ) as one:
-            assert await one.up() == 200
-            clients = [Hammer(one.port, number, deadline_ms) for number in range(1, CLIENTS + 1)]
+        ) as router_process:
+            assert await router_process.up() == 200
+            clients = [
+                SequentialClient(router_process.port, number, deadline_ms) for number in range(1, CLIENTS + 1)
+            ]
             tasks = [asyncio.ensure_future(client.run()) for client in clients]
             await asyncio.sleep(0.1)
-            one.process.send_signal(signal.SIGTERM)
+            router_process.process.send_signal(signal.SIGTERM)
             await asyncio.gather(*tasks)
-            assert await one.ended() == 0
+            assert await router_process.ended() == 0
     return clients
 
 
 @pytest.mark.parametrize("deadline_ms", [50, 250])
-def test_every_request_on_an_open_connection_is_answered_until_the_router_ends_it(tmp_path, deadline_ms):
-    async def hangs(worker, writer, words):
-        if int(words[1], 16) % 5:  # one in five is never answered
-            await echo(worker, writer, words)
+def test_every_request_on_an_open_connection_is_answered_until_the_router_closes_it(tmp_path, deadline_ms):
+    async def partly_hanging(worker, writer, arguments):
+        if int(arguments[1], 16) % 5:  # one in five is never answered
+            await echo(worker, writer, arguments)
 
     async def main():
-        for client in await hammered(tmp_path, deadline_ms, hangs):
-            # The last request crossed the end of its connection; every other one has its answer.
-            assert client.answered == client.asked - 1 > 0
-            # A close that nobody had read up to would be a reset, which takes an answer on its way.
+        for client in await stopped_under_load(tmp_path, deadline_ms, partly_hanging):
+            # The last request crossed the close of its connection; every other one was answered.
+            assert client.answered == client.sent - 1 > 0
+            # Closing with unread data would be a reset, which discards an answer that is on its way.
             assert not client.reset
 
     run(main())
 
 
-def test_a_request_whose_last_byte_comes_while_the_router_stops_is_answered(tmp_path):
+def test_a_request_whose_last_byte_comes_during_the_shutdown_is_answered(tmp_path):
     async def main():
         async with Worker(echo) as worker:
             with RouterProcess(
                 tmp_path, document([worker.port], settings=settings_with_deadline(2_000))
-            ) as one:
-                assert await one.up() == 200
-                async with Front(one.port) as front, Front(one.port) as idle:
-                    whole = request(1, fields(id_(1), wait="2000"))
+            ) as router_process:
+                assert await router_process.up() == 200
+                async with Front(router_process.port) as front, Front(router_process.port) as idle:
+                    data = request(1, fields(id_(1), wait="2000"))
                     assert (await idle.ask(1, fields(id_(2))))[0] == 200
-                    front.writer.write(whole[:-8])
-                    one.process.send_signal(signal.SIGTERM)
-                    assert await idle.closed()  # it has begun to end connections on which nothing is owed
-                    front.writer.write(whole[-8:])
+                    front.writer.write(data[:-8])
+                    router_process.process.send_signal(signal.SIGTERM)
+                    assert await idle.closed()  # it closes connections on which no answer is due
+                    front.writer.write(data[-8:])
                     assert (await front.answer(1))[0] == 503
                     assert await front.closed()
-                assert await one.ended() == 0
+                assert await router_process.ended() == 0
 
     run(main())
 
--- a/tests/test_start_and_reload.py
+++ b/tests/test_start_and_reload.py
@@ -1,4 +1,4 @@
-"""A start, and a new configuration, under calls that fail for a moment: tried again within their time."""
+"""A start and a configuration reload retry calls that fail temporarily."""
 
 import json
 import socket
@@ -9,22 +9,22 @@
 from test_platform import RouterProcess
 
 
-def test_a_port_that_is_still_taken_at_our_start_is_tried_again(tmp_path):
+def test_a_start_retries_a_port_that_is_still_in_use(tmp_path):
     async def main():
-        with RouterProcess(tmp_path, document([9])) as one:
-            with socket.create_server((HOST, one.port)):
-                line = one.process.stderr.readline()
-                assert b"listen" in line and one.process.poll() is None
-            assert await one.up() == 200
+        with RouterProcess(tmp_path, document([9])) as router_process:
+            with socket.create_server((HOST, router_process.port)):
+                line = router_process.process.stderr.readline()
+                assert b"listen" in line and router_process.process.poll() is None
+            assert await router_process.up() == 200
 
     run(main())
 
 
-def test_a_watch_that_is_moved_and_cancelled_in_one_instant_ends():
-    """It went on for ever, and its process with it: SIGHUP and the end of a stop in one turn."""
+def test_a_journal_client_that_is_moved_and_cancelled_in_one_turn_ends():
+    """SIGHUP in the same loop turn as the end of a shutdown left the client and its process running."""
 
     async def main():
-        async with Following(9, lambda event: None) as following:  # nobody listens there
+        async with Following(9, lambda event: None) as following:  # nothing listens there
             await until(lambda: following.client._failures > 3)
             await until(lambda: following.client._stream is None)
             following.client.reconnect((HOST, 8))
@@ -34,16 +34,16 @@
     run(main())
 
 
-def test_a_configuration_that_is_half_written_at_sighup_is_read_again(tmp_path):
+def test_a_reload_retries_a_configuration_that_is_half_written(tmp_path):
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [9], journal=9) as node:
-            whole = node.file.read_text()
-            moved = json.loads(whole)
+            complete = node.file.read_text()
+            moved = json.loads(complete)
             moved["journal"] = f"{HOST}:{worker.port}"
-            node.file.write_text(whole[:100])
+            node.file.write_text(complete[:100])
             node.reload()
             assert node.journal.address == (HOST, 9)
             node.file.write_text(json.dumps(moved))
-            await until(lambda: node.journal.address == (HOST, worker.port))  # no second SIGHUP comes
+            await until(lambda: node.journal.address == (HOST, worker.port))  # without a second SIGHUP
 
     run(main())
