--- a/tests/outagebench.py
+++ b/tests/outagebench.py
@@ -1,7 +1,7 @@
-"""Several router processes, workers that drain and restart, and a list service that goes away in many forms.
+"""Several router processes, workers that drain and restart, and a list service that fails in many forms.
 
-Workers and the list service live in this process; what reached a worker is judged by when it came, less the
-longest delay of this process's loop.
+Workers and the list service run in this process.  A command that reached a worker is judged by its time of
+arrival, less the longest delay of this process's event loop.
 """
 
 import asyncio
@@ -18,25 +18,31 @@
 
 from platformbench import HOST, Front, document, endpoint, fields, frame, read_command, settings, worker_reply
 from test_platform import RouterProcess, id_
-from test_soak import CoreWaits, Lag
+from test_soak import CpuWaits, Lag
 
 GRACE_S = 0.5
-SOCKETS_S = 0.05  # s that every limit is longer on sockets, by the protocol page
-BREAK_S, STOP_S = 2.0, 4.0  # s until what a broken, a stopped list would have told counts as told
+SOCKETS_S = 0.05  # by which the protocol extends every limit on sockets
+BREAK_S, STOP_S = 2.0, 4.0  # until missed updates of a broken, a stopped list count as delivered
 FUNCTIONS = tuple(f"{number:016x}" for number in range(0xA0, 0xA8))
 READY, DRAINING, GONE = 0, 1, 2
 STATUS = ("up", "draining", "removed")
-WAIT_S = 1.5  # s that a client waits
-STOPS = ("silent", "trickle", "ahead", "repeats", "moved")  # forms in which the list stops; the others break
-
-
-# Ports that no outgoing connection is given, so that they are there again after a restart; test processes
-# that run side by side have ranges of their own.
+REQUEST_TIMEOUT_S = 1.5  # of clients
+STOPS = (
+    "silent",
+    "trickle",
+    "ahead",
+    "repeats",
+    "moved",
+)  # forms in which the list stops; in others it breaks
+
+
+# Ports outside the range of outgoing connections, so that they are free again after a restart; each concurrent
+# test process has its own range.
 PORTS = itertools.count(12_000 + 2_000 * int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]))
 
 
 def free_port():
-    """A port that nobody else is given."""
+    """A port that is in use nowhere else."""
     while True:
         port = next(PORTS)
         with socket.socket() as free, suppress(OSError):
@@ -49,19 +55,19 @@
     """One command that reached a worker."""
 
     at_s: float
-    kind: str  # call, order or question
+    kind: str  # call, order or query
     id: bytes
 
 
 class CalcWorker:
-    """A worker that loads functions on demand; while it drains it turns everything new away."""
+    """A worker that loads functions on demand; while it drains it rejects everything new."""
 
-    def __init__(self, number, chance, work_s=0.02):
-        self.number, self.chance, self.work_s, self.port = number, chance, work_s, free_port()
+    def __init__(self, number, random_, work_s=0.02):
+        self.number, self.random, self.work_s, self.port = number, random_, work_s, free_port()
         self.id = f"s-{number:08x}"
         self.copies, self.arrivals = {}, []
         self.ran = []  # calls that must not run twice
-        self.drains = []  # from when to when it drained
+        self.drains = []  # begin and end of each drain
         self.draining_since = self.back_at = None
         self.hangs = self.dead = False
         self._server, self._writers, self._tasks = None, set(), set()
@@ -73,8 +79,8 @@
         self.draining_since = time.monotonic()
         self.drains.append((self.draining_since, float("inf")))
 
-    async def die(self):
-        """The process ends: connections are reset, new ones refused."""
+    async def crash(self):
+        """Ends the process: connections are reset and new ones refused."""
         self.dead = True
         self._server.close()
         for writer in list(self._writers):
@@ -83,8 +89,8 @@
         await asyncio.sleep(0)
 
     async def restart(self, away_s):
-        """The process ends and is started anew, empty, some time later."""
-        await self.die()
+        """Ends the process and starts it again without copies after `away_s`."""
+        await self.crash()
         if self.draining_since is not None:
             self.drains[-1] = (self.draining_since, time.monotonic())
         await asyncio.sleep(away_s)
@@ -102,82 +108,84 @@
         self._writers.add(writer)
         try:
             while True:
-                self._take(await read_command(reader), writer)
+                self._handle(await read_command(reader), writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    def _take(self, words, writer):
+    def _handle(self, arguments, writer):
         if self.hangs:
             return
-        if words[0] == b"HELO":
-            writer.write(worker_reply(words[1], b"FIT"))
-        elif words[0] == b"SPAWN":
-            self._spawn(words, writer)
-        elif words[0] == b"FN":
-            self._call(words, writer)
+        if arguments[0] == b"HELO":
+            writer.write(worker_reply(arguments[1], b"FIT"))
+        elif arguments[0] == b"SPAWN":
+            self._spawn(arguments, writer)
+        elif arguments[0] == b"FN":
+            self._call(arguments, writer)
 
     def _note(self, kind, id_):
         self.arrivals.append(Arrival(time.monotonic(), kind, id_))
 
-    def _spawn(self, words, writer):
-        told = dict(pair.split(b"=") for pair in words[2].split(b","))
-        wanted = int(told[b"instances"])
-        self._note("order" if wanted else "question", words[1])
+    def _spawn(self, arguments, writer):
+        options = dict(pair.split(b"=") for pair in arguments[2].split(b","))
+        wanted = int(options[b"instances"])
+        self._note("order" if wanted else "query", arguments[1])
         if self.draining_since is not None:
-            writer.write(worker_reply(words[1], b"WAIT", b"instances=%d" % self.copies.get(told[b"name"], 0)))
+            writer.write(
+                worker_reply(arguments[1], b"WAIT", b"instances=%d" % self.copies.get(options[b"name"], 0))
+            )
             return
-        stands = self.copies[told[b"name"]] = max(wanted, self.copies.get(told[b"name"], 0))
-        writer.write(worker_reply(words[1], b"DONE", b"instances=%d" % stands))
+        copies = self.copies[options[b"name"]] = max(wanted, self.copies.get(options[b"name"], 0))
+        writer.write(worker_reply(arguments[1], b"DONE", b"instances=%d" % copies))
 
-    def _call(self, words, writer):
-        self._note("call", words[1])
+    def _call(self, arguments, writer):
+        self._note("call", arguments[1])
         if self.draining_since is not None:
-            writer.write(worker_reply(words[1], b"WAIT"))
+            writer.write(worker_reply(arguments[1], b"WAIT"))
             return
-        name = dict(pair.split(b"=") for pair in words[2].split(b","))[b"name"]
-        why = b"why=reused" if self.copies.get(name) else b"why=init"
+        name = dict(pair.split(b"=") for pair in arguments[2].split(b","))[b"name"]
+        copy_state = b"why=reused" if self.copies.get(name) else b"why=init"
         self.copies[name] = max(1, self.copies.get(name, 0))
-        if b"lane=consigna" in words[2]:
-            self.ran.append(words[1])
-        task = asyncio.ensure_future(self._work(words, writer, why))
+        if b"lane=consigna" in arguments[2]:
+            self.ran.append(arguments[1])
+        task = asyncio.ensure_future(self._work(arguments, writer, copy_state))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _work(self, words, writer, why):
-        await asyncio.sleep(self.chance.uniform(0.5, 1.5) * self.work_s)
+    async def _work(self, arguments, writer, copy_state):
+        await asyncio.sleep(self.random.uniform(0.5, 1.5) * self.work_s)
         if not writer.is_closing():
-            writer.write(worker_reply(words[1], b"DONE", why, b"did " + words[3]))
+            writer.write(worker_reply(arguments[1], b"DONE", copy_state, b"did " + arguments[3]))
 
 
 class ListService:
-    """The list of workers; `mode` says in what way it is away, or that it is well.
+    """A service with the worker list; `mode` says how it fails, or is "well".
 
-    silent: connections stand and say nothing; refusing: they are cut and new ones refused; one-frame: each
-    says that nothing is new, and is cut 0.7 s later; trickle: a frame that never ends; ahead: empty frames
-    of a number whose event never comes; repeats: the first event over and over.
+    silent: connections stay open without a frame; refusing: they are closed and new ones refused; one-frame:
+    each gets one empty frame and is closed 0.7 s later; trickle: a frame that never ends; ahead: empty frames
+    with the number of an event that never comes; repeats: the first event again and again.
     """
 
     def __init__(self):
-        self.port, self.mode, self.events, self.told = free_port(), "well", [], []
+        self.port, self.mode, self.events, self.records = free_port(), "well", [], []
         self._server, self._writers, self._tasks = None, set(), set()
 
     @property
     def number(self):
         return 1 + len(self.events)
 
-    def tell(self, *records):
-        """An event: (id, port, state) of each worker that changed."""
+    def add_event(self, *records):
+        """Adds an event with (id, port, state) of each worker that changed."""
         self.events.append(frame(self.number + 1, 2, records))
-        self.told.append(records)
+        self.records.append(records)
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, HOST, self.port)
 
-    async def go(self, mode):
-        """Be away in this way, or well, from now on."""
+    async def set_mode(self, mode):
+        """Fails in this way, or is available, from now on."""
         self.mode = mode
         if mode in ("refusing", "one-frame"):
             for writer in list(self._writers):
@@ -204,7 +212,7 @@
         writer.close()
 
     async def _follow(self, held, writer):
-        mode, beat, first = self.mode, time.monotonic(), held
+        mode, next_frame_at, first = self.mode, time.monotonic(), held
         if mode == "one-frame":
             writer.write(frame(held))
             await asyncio.sleep(0.7)
@@ -213,84 +221,86 @@
             writer.write(frame(held + 1, 1, [(1, 80, READY)] * 9_000)[:20])
         while not writer.is_closing():
             if self.mode != "well" and mode == "well":
-                mode = self.mode  # one that stopped never speaks again
+                mode = self.mode  # a connection that stopped sends nothing more
             now = time.monotonic()
             if mode == "well" and self.number > held:
                 writer.write(b"".join(self.events[held - 1 :]))
                 held = self.number
             elif mode == "trickle":
                 writer.write(bytes(160))  # 4 KB in 1.3 s
-            elif now >= beat and mode in ("well", "ahead", "repeats"):
-                beat = now + 1.0
-                whole = frame(first, 1, [(1, 80, READY)])
-                writer.write({"well": frame(held), "ahead": frame(held + 1)}.get(mode, whole))
+            elif now >= next_frame_at and mode in ("well", "ahead", "repeats"):
+                next_frame_at = now + 1.0
+                full_list = frame(first, 1, [(1, 80, READY)])
+                writer.write({"well": frame(held), "ahead": frame(held + 1)}.get(mode, full_list))
             await asyncio.sleep(0.05)
 
 
 @dataclass
-class Served:
+class ClientResults:
     """What clients saw."""
 
-    asked: int = 0
+    requests: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    late: list[tuple[int, float]] = field(default_factory=list)  # caller, and s beyond its time
-    unanswered: list[tuple[int, float, float]] = field(default_factory=list)  # caller, sent, its end
+    late: list[tuple[int, float]] = field(default_factory=list)  # client, and s beyond its time-out
+    unanswered: list[tuple[int, float, float]] = field(default_factory=list)  # client, when sent, when closed
     took_s: list[float] = field(default_factory=list)
 
 
-class Caller:
-    """One client connection: a call, a pause, and so on."""
+class Client:
+    """A client that calls and pauses in turn on one connection."""
 
-    def __init__(self, port, number, seen, chance, pause_s):
-        self.port, self.number, self.seen, self.chance, self.pause_s = port, number, seen, chance, pause_s
-        self.over = False
+    def __init__(self, port, number, seen, random_, pause_s):
+        self.port, self.number, self.seen, self.random, self.pause_s = port, number, seen, random_, pause_s
+        self.stopping = False
 
     async def run(self):
-        while not self.over:
+        while not self.stopping:
             with suppress(OSError):
                 async with Front(self.port) as front:
-                    while not self.over and await self._ask(front):
-                        await asyncio.sleep(self.chance.uniform(0.5, 1.5) * self.pause_s)
+                    while not self.stopping and await self._call(front):
+                        await asyncio.sleep(self.random.uniform(0.5, 1.5) * self.pause_s)
             await asyncio.sleep(0.01)
 
-    async def _ask(self, front):
-        self.seen.asked += 1
-        wanted = id_(self.number * 1_000_000 + self.seen.asked)
-        band = "consigna" if self.chance.random() < 0.15 else "lectura"
-        function = FUNCTIONS[min(int(self.chance.expovariate(0.5)), len(FUNCTIONS) - 1)]
+    async def _call(self, front):
+        self.seen.requests += 1
+        request_id = id_(self.number * 1_000_000 + self.seen.requests)
+        request_class = "consigna" if self.random.random() < 0.15 else "lectura"
+        function = FUNCTIONS[min(int(self.random.expovariate(0.5)), len(FUNCTIONS) - 1)]
         began = time.monotonic()
-        status, _, _ = await front.ask(1, fields(wanted, band, wait="1500", HTTP_REQ_KEY=function))
-        took = time.monotonic() - began
+        status, _, _ = await front.ask(
+            1, fields(request_id, request_class, wait="1500", HTTP_REQ_KEY=function)
+        )
+        took_s = time.monotonic() - began
         if status == 200:
             self.seen.served += 1
-            self.seen.took_s.append(took)
+            self.seen.took_s.append(took_s)
         elif status in (429, 503):
             self.seen.refused += 1
         elif status:
             self.seen.failed += 1
         if not status:
-            self.seen.unanswered.append((self.number, began, began + took))
-        elif took > WAIT_S + SOCKETS_S:
-            self.seen.late.append((self.number, took - WAIT_S))
+            self.seen.unanswered.append((self.number, began, began + took_s))
+        elif took_s > REQUEST_TIMEOUT_S + SOCKETS_S:
+            self.seen.late.append((self.number, took_s - REQUEST_TIMEOUT_S))
         return bool(status)
 
 
 @dataclass
 class Verdict:
-    """What a scenario came to."""
+    """The result of a scenario."""
 
     late_calls: int
     late_orders: int
     doubled: int
-    questions: int
-    seen: Served
+    queries: int
+    seen: ClientResults
     lag_s: float
 
     @property
     def served(self):
-        return self.seen.served / max(1, self.seen.asked)
+        return self.seen.served / max(1, self.seen.requests)
 
     @property
     def median_ms(self):
@@ -300,7 +310,7 @@
         seen = self.seen
         return (
             f"late calls {self.late_calls}, late orders {self.late_orders}, doubled {self.doubled}, "
-            f"questions {self.questions}, served {seen.served} of {seen.asked}, refused {seen.refused}, "
+            f"queries {self.queries}, served {seen.served} of {seen.requests}, refused {seen.refused}, "
             f"failed {seen.failed}, late answers {len(seen.late)}, unanswered {len(seen.unanswered)}, "
             f"median {self.median_ms} ms, "
             f"lag {self.lag_s * 1e3:.0f} ms"
@@ -311,33 +321,33 @@
     """Routers, workers, clients and the list of one scenario."""
 
     def __init__(self, folder, routers, workers, seed=1, orders=True, **limits):
-        self.folder, self.chance = folder, random.Random(seed)
+        self.folder, self.random = folder, random.Random(seed)
         self.workers = [CalcWorker(number, random.Random(seed + number)) for number in range(1, workers + 1)]
-        self.list, self.lag, self.seen = ListService(), Lag(), Served()
-        self.routers, self.callers, self._tasks, self.logs = [], [], [], []
+        self.list, self.lag, self.seen = ListService(), Lag(), ClientResults()
+        self.routers, self.clients, self._tasks, self.logs = [], [], [], []
         self._count, self._limits = routers, limits
         self.orders = orders
-        self.away_at = self.broke_at = None  # when the outage began, and when the list first broke in it
-        self.restarts = {}  # router: when it was started anew in the outage, with all that was listed by then
+        self.outage_at = self.broke_at = None  # when the outage began, and when the list first broke in it
+        self.restarts = {}  # router: when it was restarted in the outage, with the list of that moment
 
     def config(self):
-        """What a router is told at its start."""
-        plain = settings()
-        told = settings(
+        """A router's configuration."""
+        defaults = settings()
+        changed = settings(
             **{
                 "balancers": self._count,
-                "family-info": plain["family-info"]
+                "family-info": defaults["family-info"]
                 | {"may-load": self.orders, "order-timeout-ms": 10_000.0, "tells-warm": True},
-                "rules": plain["rules"] | {"drain-grace-ms": GRACE_S * 1e3, "cold-ms": 20_000.0},
-                "limits": plain["limits"] | self._limits,
+                "rules": defaults["rules"] | {"drain-grace-ms": GRACE_S * 1e3, "cold-ms": 20_000.0},
+                "limits": defaults["limits"] | self._limits,
             }
         )
-        found = document([worker.port for worker in self.workers], self.list.port)
-        return found | {"settings": told}
+        configuration = document([worker.port for worker in self.workers], self.list.port)
+        return configuration | {"settings": changed}
 
     @asynccontextmanager
-    async def playing(self, callers, pause_s):
-        """Start everything; clients call until the end."""
+    async def playing(self, clients, pause_s):
+        """Starts everything; clients call until the end."""
         async with AsyncExitStack() as stack:
             for part in (*self.workers, self.list):
                 await part.start()
@@ -349,28 +359,28 @@
             for router in self.routers:
                 self._read_log(router)
             await asyncio.gather(*(router.up() for router in self.routers))
-            self.waits = CoreWaits("self", *(router.process.pid for router in self.routers))
-            watches = [asyncio.ensure_future(one.watch()) for one in (self.lag, self.waits)]
-            for number in range(callers * self._count):
+            self.waits = CpuWaits("self", *(router.process.pid for router in self.routers))
+            monitors = [asyncio.ensure_future(monitor.watch()) for monitor in (self.lag, self.waits)]
+            for number in range(clients * self._count):
                 router = self.routers[number % self._count]
-                caller = Caller(router.port, 1 + number, self.seen, self.chance, pause_s)
-                self.callers.append(caller)
-                self._tasks.append(asyncio.ensure_future(caller.run()))
+                client = Client(router.port, 1 + number, self.seen, self.random, pause_s)
+                self.clients.append(client)
+                self._tasks.append(asyncio.ensure_future(client.run()))
             try:
                 yield self
                 await self._finish()
             finally:
-                for task in (*watches, *self._tasks):
+                for task in (*monitors, *self._tasks):
                     task.cancel()
 
     async def _finish(self):
-        """Let every call that was made have its answer."""
-        for caller in self.callers:
-            caller.over = True
+        """Waits for the answers to all open calls."""
+        for client in self.clients:
+            client.stopping = True
         await asyncio.wait(self._tasks, timeout=3.0)
 
     def _read_log(self, router):
-        """A log that nobody reads would hold its router up."""
+        """Reads a router's log, as a full pipe would block the router."""
 
         def read():
             with suppress(ValueError):  # closed with its process
@@ -378,88 +388,88 @@
 
         self.logs.append(asyncio.ensure_future(asyncio.to_thread(read)))
 
-    def _away(self, mode):
+    def _note_outage(self, mode):
         now = time.monotonic()
-        self.away_at = self.away_at or now
+        self.outage_at = self.outage_at or now
         if mode not in STOPS:
             self.broke_at = self.broke_at or now
 
     async def outage(self, mode):
-        """The list is away in this form from now on."""
-        self._away(mode)
-        await self.list.go(mode)
+        """Begins an outage of the list in this form."""
+        self._note_outage(mode)
+        await self.list.set_mode(mode)
 
     async def moved_to_silence(self):
-        """A new configuration names an address that accepts and says nothing."""
-        self._away("moved")
-        silent = ListService()
-        silent.mode = "silent"
-        await silent.start()
-        await self.move(silent.port)
-        return silent
+        """Moves the list to an address that accepts connections and sends nothing."""
+        self._note_outage("moved")
+        service = ListService()
+        service.mode = "silent"
+        await service.start()
+        await self.move(service.port)
+        return service
 
     async def move(self, port):
-        """Each router gets a configuration that names this port for the list, and SIGHUP."""
+        """Gives each router a configuration with this port for the list, and SIGHUP."""
         for router in self.routers:
-            found = json.loads(router.file.read_text()) | {"journal": f"{HOST}:{port}"}
-            router.file.write_text(json.dumps(found))
+            configuration = json.loads(router.file.read_text()) | {"journal": f"{HOST}:{port}"}
+            router.file.write_text(json.dumps(configuration))
             router.process.send_signal(signal.SIGHUP)
 
     def known(self):
-        """The events of the list by now, as a configuration keeps them."""
+        """The events of the list so far, in the form of a configuration."""
         first = [endpoint(worker.number, worker.port) for worker in self.workers]
         entries = [{"pos": 1, "hosts": {"index": 0, "snapshot": True, "endpoints": first}}]
-        for number, records in enumerate(self.list.told, 2):
+        for number, records in enumerate(self.list.records, 2):
             changed = [endpoint(id_, port, STATUS[state]) for id_, port, state in records]
             entries.append({"pos": number, "hosts": {"index": 0, "snapshot": False, "endpoints": changed}})
         return {"pos": len(entries), "entries": entries}
 
-    async def renew(self, number):
-        """Kill a router and start it anew at its address, with what is listed by now."""
-        old = self.routers[number]
-        old.process.kill()
-        await asyncio.to_thread(old.process.wait)
-        config = json.loads(old.file.read_text()) | {"known": self.known()}
+    async def restart_router(self, number):
+        """Kills a router and starts it again at its address, with the present list."""
+        router = self.routers[number]
+        router.process.kill()
+        await asyncio.to_thread(router.process.wait)
+        configuration = json.loads(router.file.read_text()) | {"known": self.known()}
         self.restarts[number] = time.monotonic()
-        old.file.write_text(json.dumps(config))
-        old.start()
-        self._read_log(old)
-        await old.up()
+        router.file.write_text(json.dumps(configuration))
+        router.start()
+        self._read_log(router)
+        await router.up()
 
     def busiest(self):
-        """The worker that took most calls of late and does not drain."""
+        """The running, not draining worker with the most arrivals in the last second."""
         since = time.monotonic() - 1.0
-        able = [worker for worker in self.workers if worker.draining_since is None and not worker.dead]
-        return max(able, key=lambda worker: sum(one.at_s > since for one in worker.arrivals))
+        candidates = [worker for worker in self.workers if worker.draining_since is None and not worker.dead]
+        return max(candidates, key=lambda worker: sum(arrival.at_s > since for arrival in worker.arrivals))
 
     def drain(self, worker):
-        """A worker begins to drain, and the list has it at once, whether anybody hears it or not."""
+        """Makes a worker drain; the list has the update at once, whether or not routers receive it."""
         worker.drain()
-        self.list.tell((worker.number, worker.port, DRAINING))
+        self.list.add_event((worker.number, worker.port, DRAINING))
 
-    def told_s(self, drained_at, router):
-        """When a drain counts as told to a router, None where it is not known which sent."""
-        until = self.away_at + STOP_S
+    def delivered_s(self, drained_at, router):
+        """When a drain counts as delivered to a router; `router` is None if the sender is unknown."""
+        delivered_at = self.outage_at + STOP_S
         if self.broke_at is not None:
-            until = min(until, self.broke_at + BREAK_S)
-        if router in self.restarts:  # it began in the outage, and knows all that was listed by then
-            until = self.restarts[router]
-        return max(drained_at, until)
+            delivered_at = min(delivered_at, self.broke_at + BREAK_S)
+        if router in self.restarts:  # it started in the outage with the list of that moment
+            delivered_at = self.restarts[router]
+        return max(drained_at, delivered_at)
 
     def _sender(self, arrival):
-        """The router that sent a call, by its caller."""
+        """The router that sent a call, by the client's number in its id; None for other commands."""
         return (int(arrival.id, 16) // 1_000_000 - 1) % self._count if arrival.kind == "call" else None
 
     def verdict(self):
-        """Judge what reached the workers."""
-        late = {"call": 0, "order": 0, "question": 0}
+        """Judges what reached the workers."""
+        late = {"call": 0, "order": 0, "query": 0}
         slack = GRACE_S + SOCKETS_S + self.lag.worst_s
         for worker in self.workers:
             for drained_at, ended_at in worker.drains:
-                for one in worker.arrivals:
-                    until = self.told_s(drained_at, self._sender(one)) + slack
-                    late[one.kind] += until < one.at_s < ended_at
+                for arrival in worker.arrivals:
+                    latest_s = self.delivered_s(drained_at, self._sender(arrival)) + slack
+                    late[arrival.kind] += latest_s < arrival.at_s < ended_at
         ran = [id_ for worker in self.workers for id_ in worker.ran]
-        questions = sum(one.kind == "question" for worker in self.workers for one in worker.arrivals)
+        queries = sum(arrival.kind == "query" for worker in self.workers for arrival in worker.arrivals)
         doubled = len(ran) - len(set(ran))
-        return Verdict(late["call"], late["order"], doubled, questions, self.seen, self.lag.worst_s)
+        return Verdict(late["call"], late["order"], doubled, queries, self.seen, self.lag.worst_s)
