--- a/tests/outagebench.py
+++ b/tests/outagebench.py
@@ -27,17 +27,12 @@
 READY, DRAINING, GONE = 0, 1, 2
 STATUS = ("up", "draining", "removed")
 REQUEST_TIMEOUT_S = 1.5  # of clients
-STOPS = (
-    "silent",
-    "trickle",
-    "ahead",
-    "repeats",
-    "moved",
-)  # forms in which the list stops; in others it breaks
+# Forms in which the list stops; in the others it breaks.
+STOPS = ("silent", "trickle", "ahead", "repeats", "moved")
 
 
-# Ports outside the range of outgoing connections, so that they are free again after a restart; each concurrent
-# test process has its own range.
+# Ports outside the range of outgoing connections, so that they are free again after a restart.  Each test
+# process has its own range.
 PORTS = itertools.count(12_000 + 2_000 * int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]))
 
 
