--- a/swiftwell/discovery/worker_leases.py
+++ b/swiftwell/discovery/worker_leases.py
@@ -14,16 +14,13 @@
 from swiftwell.discovery.staleness import ListStaleness
 
 NEVER_US = -(1 << 62)
-DECISION_MARGIN_US = (
-    100_000  # of a lease, left at a decision: for a connection and a loop turn before the write
-)
-WRITE_MARGIN_US = (
-    60_000  # left at the write: a process with a fraction of a core may be descheduled before it
-)
-DECISION_MARGIN_DIVISOR = (
-    4  # the margin is at most this fraction of the grace period, so that a short one works
-)
-WRITE_MARGIN_DIVISOR = 8  # the same for the write
+# Time that must be left of a lease at a decision, which may be followed by a connection and a loop turn, and at
+# the write, before which a process with a fraction of a core may be descheduled.  Each is at most a fraction of
+# the grace period, so that a short grace period still gives a usable lease.
+DECISION_MARGIN_US = 100_000
+WRITE_MARGIN_US = 60_000
+DECISION_MARGIN_DIVISOR = 4
+WRITE_MARGIN_DIVISOR = 8
 MIN_RESTART_US = 100_000  # the least time in which a process can end, start and listen again
 
 
