--- a/swiftwell/discovery/journal.py
+++ b/swiftwell/discovery/journal.py
@@ -313,7 +313,7 @@
 
     async def _read(self, stream: TcpStream, decoder: FrameDecoder) -> str:
         reading, silent_s, checked_at, progress_bytes = None, 0.0, time.monotonic(), 0
-        connected_at, has_event = checked_at, False
+        connected_at, has_frame = checked_at, False
         try:
             while True:
                 reading = reading or asyncio.ensure_future(_read_some(stream))
@@ -330,16 +330,16 @@
                     for event in events:
                         self._take(event)
                     if (
-                        has_event
+                        has_frame
                         and now - connected_at >= MIN_CONFIRMING_AGE_S
                         and events
                         and events[-1] is None
                     ):
                         self._confirm_list(decoder.latest_number)
-                    has_event = has_event or bool(events)
+                    has_frame = has_frame or bool(events)
                 self._staleness.connection_seen(self._read_until_us())
-                # An empty frame names an event that never came.  The connection is renewed once for each such
-                # number only, as the protocol doesn't say that this number must have been sent.
+                # An empty frame names an event that never came.  The connection is renewed once only for each such
+                # number, as the protocol does not say that an empty frame's number is that of the last event.
                 if decoder.latest_number > max(self.sequence.last_number, self._requested_number):
                     self._requested_number = decoder.latest_number
                     return f"events up to {decoder.latest_number} are missing"
@@ -362,8 +362,7 @@
     def _confirm_list(self, latest_number: int) -> None:
         """Handles an empty frame, by which no event follows `latest_number`.
 
-        The first frame of a connection confirms nothing: a service that breaks off again and again sends it
-        too.
+        The first frame of a connection confirms nothing: a service whose connections keep breaking sends it too.
         """
         if self._confirms_list and latest_number == self.sequence.last_number:
             self._staleness.confirm(self._read_until_us())
--- a/swiftwell/discovery/worker_leases.py
+++ b/swiftwell/discovery/worker_leases.py
@@ -1,9 +1,9 @@
 """Leases on workers, renewed by the workers' own answers.  No I/O; times are monotonic us.
 
 A lease proves that a worker was not draining at some time, and that its process is the one that the list
-names.  While the list is current, the list is enough by itself.  Once a missed list update may count as delivered, a
-send needs proof that the worker was not draining at most a grace period ago: a call that it accepted or a
-query that it answered, each counted from the time at which it was sent.
+names.  While the list is current, it is enough without a lease.  Once a missed list update may count as
+delivered, a send needs proof that the worker was not draining at most a grace period ago: a call that it
+accepted or a query that it answered, each counted from the time at which it was sent.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 NEVER_US = -(1 << 62)
 # Time that must be left of a lease at a decision, as a connection and a loop turn may follow, and at the write,
-# before which a process with a fraction of a core may be descheduled.  Each margin is at most the grace period
+# as a process with a fraction of a core may be descheduled before it.  Each margin is at most the grace period
 # by its divisor, so that a short grace period still gives a usable lease.
 DECISION_MARGIN_US = 100_000
 WRITE_MARGIN_US = 60_000
