--- a/swiftwell/discovery/journal.py
+++ b/swiftwell/discovery/journal.py
@@ -338,8 +338,8 @@
                         self._confirm_list(decoder.latest_number)
                     has_frame = has_frame or bool(events)
                 self._staleness.connection_seen(self._read_until_us())
-                # An empty frame names an event that never came.  The connection is renewed once only for each such
-                # number, as the protocol does not say that an empty frame's number is that of the last event.
+                # An empty frame names an event that never came.  The connection is renewed only once for each
+                # such number, as the protocol does not say that it is the number of the last event.
                 if decoder.latest_number > max(self.sequence.last_number, self._requested_number):
                     self._requested_number = decoder.latest_number
                     return f"events up to {decoder.latest_number} are missing"
@@ -362,7 +362,7 @@
     def _confirm_list(self, latest_number: int) -> None:
         """Handles an empty frame, by which no event follows `latest_number`.
 
-        The first frame of a connection confirms nothing: a service whose connections keep breaking sends it too.
+        The first frame of a connection confirms nothing: a service that breaks off again and again sends one.
         """
         if self._confirms_list and latest_number == self.sequence.last_number:
             self._staleness.confirm(self._read_until_us())
--- a/swiftwell/discovery/worker_leases.py
+++ b/swiftwell/discovery/worker_leases.py
@@ -14,9 +14,9 @@
 from swiftwell.discovery.staleness import ListStaleness
 
 NEVER_US = -(1 << 62)
-# Time that must be left of a lease at a decision, as a connection and a loop turn may follow, and at the write,
-# as a process with a fraction of a core may be descheduled before it.  Each margin is at most the grace period
-# by its divisor, so that a short grace period still gives a usable lease.
+# Time that must be left of a lease at a decision, as a connection and a loop turn may follow, and at the
+# write, as a process with a fraction of a core may be descheduled before it.  Each margin is at most the
+# grace period by its divisor, so that a short grace period still gives a usable lease.
 DECISION_MARGIN_US = 100_000
 WRITE_MARGIN_US = 60_000
 DECISION_MARGIN_DIVISOR = 4
