--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -50,7 +50,7 @@
         self.world, self.name, self.plan, self._servers = world, name, plan, servers
         self._delay = world.stream(f"network/{name}")
         self._disk_chance = world.stream(f"disk/{name}")
-        self._effects = {band.name: band.effect for band in plan.told.classes}
+        self._effects = {request_class.name: request_class.effect for request_class in plan.told.classes}
         self.disk: list[Record] = []  # what is durable, and outlives a kill
         self._books: tuple[int, snapshot.RouterBooks] | None = None
         self.up = False
@@ -86,7 +86,7 @@
             at, books = self._books
             if believed := crash.believe(books, world.now - at, True):
                 self.engine.start_at(world.now, world.wall())
-                self.engine.believe(believed)
+                self.engine.restore_router_state(believed)
         world.note("ready", "runner", gw=self.name, port=self.port)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))
         self.list_now(self)
@@ -202,7 +202,7 @@
         trigger = out.trigger
         work = Work(
             f"{self.name}/{out.id}/{out.number}", trigger.function, 0.0, trigger.memory_mb or 100.0,
-            max(1, trigger.lanes), trigger.key, trigger.band,
+            max(1, trigger.lanes), trigger.key, trigger.request_class,
         )  # fmt: skip
         life = self.life
 
@@ -305,13 +305,13 @@
             self.world.after(self._wire_us(), end, answer)
 
         self.world.after(self._wire_us(), server.order, self.name, "-", 0, 0.0, 1, told)
-        self.world.after(out.within_us, end, None)
+        self.world.after(out.timeout_us, end, None)
 
     # What fronts use.
 
-    def effect(self, band: str) -> Effect | None:
+    def effect(self, request_class: str) -> Effect | None:
         """What a repeat of a class does."""
-        return self._effects.get(band)
+        return self._effects.get(request_class)
 
     def submit(self, trigger: Trigger) -> None:
         """Take a trigger, whose `ref` hears of its answer."""
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -152,10 +152,10 @@
     writer.transport.abort()
 
 
-def fields(id_, band="lectura", wait="1000", **more):
+def fields(id_, request_class="lectura", wait="1000", **more):
     """The parameters of an ordinary request; one with the value None is left out."""
     parameters = {
-        "SCRIPT_NAME": f"/api/v2/{band}", "REQUEST_METHOD": "POST", "HTTP_REQ_ID": id_,
+        "SCRIPT_NAME": f"/api/v2/{request_class}", "REQUEST_METHOD": "POST", "HTTP_REQ_ID": id_,
         "HTTP_REQ_WAIT_MS": wait, "HTTP_REQ_OWNER": "acme", "HTTP_REQ_KEY": KEY, "HTTP_REQ_COST": "8.2",
         "HTTP_X_TAGS": "memory_mb:512;lanes:2;load_ms:300", **more,
     }  # fmt: skip
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,8 +17,13 @@
 SECOND_DEPLOYMENT = replace(
     PLAIN,
     classes=tuple(
-        replace(band, name=name, target_us=2 * band.target_us, deadline_us=2 * band.deadline_us)
-        for name, band in (("lectura", SAFE), ("asiento", KEYED))
+        replace(
+            request_class,
+            name=name,
+            target_us=2 * request_class.target_us,
+            deadline_us=2 * request_class.deadline_us,
+        )
+        for name, request_class in (("lectura", SAFE), ("asiento", KEYED))
     ),
     tenants=(io.Tenant("otra", 0.5, 5.0), io.Tenant("tercera", 0.5, 5.0)),
     zone="norte",
@@ -61,10 +66,19 @@
             self._do(ports.AttemptEnd(start.id, start.number, status, ran, b"x", latency_us))
         else:
             self.count += 1
-            band = self.random.choice(self.settings.classes)
+            request_class = self.random.choice(self.settings.classes)
             tenant = self.random.choice(self.settings.tenants).name
             function = f"{tenant}-{self.random.randrange(5)}"
-            trigger = Trigger(f"s{self.count}", None, band.name, tenant, function, "", b"", band.deadline_us)
+            trigger = Trigger(
+                f"s{self.count}",
+                None,
+                request_class.name,
+                tenant,
+                function,
+                "",
+                b"",
+                request_class.deadline_us,
+            )
             self._do(ports.Arrive(replace(trigger, memory_mb=50.0, lanes=2)))
 
 
@@ -151,11 +165,11 @@
     def _call(self, at):
         self._schedule(self.random.expovariate(self.PER_S), self._call, at)
         self.number += 1
-        band = self.random.choice(("safe", "keyed", "unsafe"))
+        request_class = self.random.choice(("safe", "keyed", "unsafe"))
         function = f"f{min(self.random.randrange(self.FUNCTIONS), self.random.randrange(self.FUNCTIONS))}"
         trigger = Trigger(
-            f"s{self.number}", (self.now, band), band, "", function, f"k{self.number}", b"", 3_000_000,
-            memory_mb=50.0, lanes=4, load_us=self.LOAD_US,
+            f"s{self.number}", (self.now, request_class), request_class, "", function, f"k{self.number}", b"",
+            3_000_000, memory_mb=50.0, lanes=4, load_us=self.LOAD_US,
         )  # fmt: skip
         self._step(at, ports.Arrive(trigger))
 
@@ -170,8 +184,8 @@
                     load_us / 1e6, self._step, at, ports.OrderEnd(output.number, Status.OK, 1, load_us)
                 )
             elif isinstance(output, ports.Reply):
-                sent, band = output.trigger.ref
-                self.replies.append((sent, band, output.answer.kind, self.now - sent))
+                sent, request_class = output.trigger.ref
+                self.replies.append((sent, request_class, output.answer.kind, self.now - sent))
 
     def _load(self, worker, function):
         """Loads a copy if there is none; returns when it is loaded, and the copy state for an answer."""
@@ -190,7 +204,7 @@
         if failed:
             del self.workers[worker][function]
         else:
-            self.ran.setdefault((start.trigger.band, key), []).append(worker)
+            self.ran.setdefault((start.trigger.request_class, key), []).append(worker)
         took_s = (self.LOAD_US if failed else loaded_at - self.now + self.WORK_US) / 1e6
         reported_state = 0 if failed else copy_state
         end = ports.AttemptEnd(start.id, start.number, status, ran, b"", int(took_s * 1e6), reported_state)
@@ -222,7 +236,9 @@
             recent = sum(at - 10_000_000 < other <= at for other in replaced.orders)
             assert recent <= QuietDay.ROUTERS * (4 + 1) + 0.2 * arrived
         # Rule 2: an unsafe call runs once at most.
-        assert all(len(ran) == 1 for (band, _), ran in replaced.ran.items() if band == "unsafe")
+        assert all(
+            len(ran) == 1 for (request_class, _), ran in replaced.ran.items() if request_class == "unsafe"
+        )
         for engine in replaced.engines:
             router = engine.router
             workers = router.workers.values()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,9 +38,12 @@
     chance = random.Random(seed)
     play = Play(settings, workers=[f"w{n}" for n in range(6)])
     for number in range(120):
-        band = chance.choice(["safe", "keyed", "unsafe"])
+        request_class = chance.choice(["safe", "keyed", "unsafe"])
         play.call(
-            band, f"k{number}", function=f"f{chance.randrange(9)}", left=chance.randrange(300_000, 3_000_000)
+            request_class,
+            f"k{number}",
+            function=f"f{chance.randrange(9)}",
+            left=chance.randrange(300_000, 3_000_000),
         )
         play.wait(chance.randrange(0, 30_000), 5_000)
         for start in only(play.out, ports.Start):
@@ -135,7 +138,7 @@
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
-    play.engine.believe(believed)
+    play.engine.restore_router_state(believed)
     start = two.started_us(wall_ms)
     workers = old.engine.router.workers.values()
     # A saved list first, whose starts went through other readings of the clocks, then the live one.
@@ -154,7 +157,7 @@
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
-    play.engine.believe(crash.believe(snapshot.take(old.engine.router), 1_000_000, True))
+    play.engine.restore_router_state(crash.believe(snapshot.take(old.engine.router), 1_000_000, True))
     assert not only(play.call(function="f1"), ports.Start)
     entries = tuple(w.entry for w in old.engine.router.workers.values())[:4]
     play.do(ports.Listed(io.Members(io.ListKind.FULL, entries)))
@@ -272,13 +275,15 @@
     writer.write(http(b"%d" % number))
 
 
-async def steady(console, seconds, kinds, band="consigna"):
+async def steady(console, seconds, kinds, request_class="consigna"):
     """Calls one after the other; each must be answered once."""
     until = time.monotonic() + seconds
     number = 0
     while time.monotonic() < until:
         number += 1
-        kinds.append(await console.call(band, f"{band}-{id(console)}-{number}", timeout=2_900))
+        kinds.append(
+            await console.call(request_class, f"{request_class}-{id(console)}-{number}", timeout=2_900)
+        )
 
 
 def calm(kinds):
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -390,7 +390,7 @@
 
 def test_a_keyed_call_is_not_retried_where_another_cell_may_have_taken_the_address():
     bench = Bench(workers=(entry("a", cell=1), entry("b", cell=1)))
-    (send,) = only(bench.call(band="keyed"), io.Send)
+    (send,) = only(bench.call(request_class="keyed"), io.Send)
     bench.do(io.Restarted("a"), io.Restarted("b"))
     bench.answer(send, Status.ERROR)
     bench.wait(500_000)
@@ -398,11 +398,11 @@
 
 
 def test_a_keyed_call_is_not_retried_once_its_cell_may_have_forgotten_it():
-    """Tests the window of the decision; the window is checked again at the write (`Call.send_by_us`)."""
+    """Tests the window of the decision; the window is checked again at the write (`Call.send_before_us`)."""
     short = replace(PLAIN, classes=(replace(KEYED, memory_us=200_000),))
     for spent_us, sends in ((150_000, 2), (250_000, 1)):
         bench = Bench(short, (entry("a", cell=1), entry("b", cell=1)))
-        (send,) = only(bench.call(band="keyed"), io.Send)
+        (send,) = only(bench.call(request_class="keyed"), io.Send)
         bench.wait(spent_us)
         bench.answer(send, Status.ERROR)
         assert len(only(bench.all, io.Send)) == sends
