--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -239,15 +239,15 @@
             case ports.Copy():
                 self._events.append(io.Loaded(given.worker, given.function, Status.OK, 0, given.copies))
             case ports.Listed():
-                told = self.roster.listed(self._now, given.members)
+                told = self.roster.apply_list(self._now, given.members)
                 self._events.append(self._same(self._unhidden(told)))
                 self._confirm(given.members)
                 self._step_roster()
             case ports.Saved():
-                self._members(self.roster.saved(self._now, given.entries))
+                self._members(self.roster.add_saved(self._now, given.entries))
                 self._step_roster()
             case ports.Asked():
-                told = self.roster.asked(
+                told = self.roster.query_ended(
                     self._now, given.worker, given.draining, given.started_us, given.answered
                 )
                 self._members(told)
@@ -532,7 +532,7 @@
         for entry in members.entries:
             worker = known.get(entry.worker)
             start = worker.entry.started_us if worker else 0
-            if start and entry.started_us and 0 < abs(start - entry.started_us) < trust.SAME_START_US:
+            if start and entry.started_us and 0 < abs(start - entry.started_us) < trust.START_TOLERANCE_US:
                 entry = replace(entry, started_us=start)
             entries.append(entry)
         return members._replace(entries=tuple(entries))
@@ -541,7 +541,7 @@
         """What a worker says of itself corrects the list at once."""
         heard = end.answered or end.draining
         if heard or end.status is Status.CONNECT_FAILED:
-            self._members(self.roster.said(self._now, worker, end.draining, end.started_us, heard))
+            self._members(self.roster.record_report(self._now, worker, end.draining, end.started_us, heard))
 
     def _members(self, told: io.Members | None) -> None:
         """Tell the module of workers."""
@@ -579,10 +579,10 @@
 
     def _step_roster(self) -> None:
         """Ask the workers that the roster wants asked, and come back when it wants more."""
-        self._members(self.roster.step(self._now))
-        for worker in self.roster.asks(self._now):
-            self._out.append(ports.Ask(worker, trust.ANSWER_US))
-        at = self.roster.next_us(self._now)
+        self._members(self.roster.expire_unlisted(self._now))
+        for worker in self.roster.due_queries(self._now):
+            self._out.append(ports.Ask(worker, trust.QUERY_TIMEOUT_US))
+        at = self.roster.next_due_us(self._now)
         if at is not None and (self._list_at is None or at < self._list_at):
             self._wheel.cancel(self._list_timer)
             self._list_at = at
--- a/swiftwell/scale/ranking.py
+++ b/swiftwell/scale/ranking.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
 
-from swiftwell.discovery.journal import MOST_RECORDS
-from swiftwell.platform.limits import divide
+from swiftwell.discovery.journal import MAX_FRAME_RECORDS
+from swiftwell.platform.limits import divide_descriptors
 from swiftwell.scale import slopes
 from swiftwell.scale.cases import FLAT_EXPONENT, ListCase, RoutingCase
 from swiftwell.scale.fits import Fit
@@ -17,7 +17,7 @@
 
 MODULE_CORES = 0.25  # of a core at a mean router's calls: assumed, the rest is sockets and codecs
 START_LIST_US = 250_000.0  # us of a start for taking the whole list: assumed, two fifths of 0.61 s
-WORKER_DESCRIPTORS = divide(TARGET.router_sockets).workers
+WORKER_DESCRIPTORS = divide_descriptors(TARGET.router_sockets).workers
 COPY_LIFE_S = 600.0  # s that a copy stands: assumed, where each copy has an entry of its own
 ENTRY_CHANGES_PER_S = 2 * TARGET.instances / COPY_LIFE_S
 FAR = 1_000.0  # times the target: a bound that is crossed beyond it is not crossed
@@ -210,9 +210,9 @@
 )
 # Bounds that stand in the code, and the size that they are held against: no run is needed for these.
 WRITTEN = (
-    ("records of one frame of the list, an entry for each instance", MOST_RECORDS, TARGET.instances,
+    ("records of one frame of the list, an entry for each instance", MAX_FRAME_RECORDS, TARGET.instances,
      "none yet (discovery/journal refuses longer frames)"),
-    ("records of one frame of the list", MOST_RECORDS, TARGET.workers, "swiftwell/discovery/journal"),
+    ("records of one frame of the list", MAX_FRAME_RECORDS, TARGET.workers, "swiftwell/discovery/journal"),
 )  # fmt: skip
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,16 +28,16 @@
     frame,
     request,
     router,
-    said,
     settings,
     until,
+    worker_reply,
 )  # fmt: skip
 from socketbench import run
-from test_platform import Process, id_
+from test_platform import RouterProcess, id_
 from test_resp import ID, OTHER, Play
 
 from swiftwell.discovery import journal
-from swiftwell.discovery.journal import Client, Frames
+from swiftwell.discovery.journal import FrameDecoder, JournalClient
 from swiftwell.fronts.fastcgi import codec
 from swiftwell.fronts.fastcgi import connection as fc
 from swiftwell.fronts.fastcgi.pending import MAX_SILENT_SWEEPS
@@ -162,7 +162,7 @@
                 await until(lambda: node.engine.router.calls)  # held: no worker is known
                 leave(front, how)
                 await until(lambda: node.engine.counts["left"])
-            node._listed(next(iter(_frames().feed(frame(2, 1, [(1, worker.port, 0)])))))
+            node._apply_event(next(iter(_frames().feed(frame(2, 1, [(1, worker.port, 0)])))))
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
             assert [words[1].decode() for words in worker.runs()] == [id_(2)]
@@ -213,7 +213,7 @@
             records = {"drains": [(1, gate.port, 1)], "is gone": [(1, gate.port, 2)]}.get(
                 what, [(1, gate.port, 2), (2, gate.port, 1)]
             )
-            node._listed(next(iter(_frames().feed(frame(2, 2, records)))))
+            node._apply_event(next(iter(_frames().feed(frame(2, 2, records)))))
             await gate.open()
             await until(lambda: one.opened.done())
             assert one.opened.result()  # it did come up, so the request could have gone
@@ -351,7 +351,7 @@
             reset_at_close(writer.get_extra_info("socket"))
             writer.transport.abort()
         else:
-            writer.write(said(id_, word))
+            writer.write(worker_reply(id_, word))
 
 
 @pytest.mark.parametrize("stall_s", [0.0, 0.2])
@@ -426,7 +426,7 @@
 
 
 async def _large(worker, writer, words):
-    writer.write(said(words[1], b"DONE", b"why=reused", b"y" * 200_000))
+    writer.write(worker_reply(words[1], b"DONE", b"why=reused", b"y" * 200_000))
 
 
 def test_large_answers_of_one_turn_reach_a_client_that_reads(tmp_path, monkeypatch):
@@ -596,7 +596,7 @@
 
         async with Worker(never) as worker:
             long = patient(deadline_ms=20_000.0)
-            with Process(tmp_path, document([worker.port], settings=long)) as one:
+            with RouterProcess(tmp_path, document([worker.port], settings=long)) as one:
                 assert await one.up() == 200
                 async with Front(one.port) as front:
                     front.writer.write(request(1, fields(id_(1), wait="20000")))
@@ -651,7 +651,7 @@
 
 
 def _frames():
-    return Frames(("east",), ("std", "big"))
+    return FrameDecoder(("east",), ("std", "big"))
 
 
 class Following:
@@ -660,8 +660,8 @@
     def __init__(self, port, tell):
         self.lines = []
         log = lambda *args, **fields: self.lines.append((args, fields))  # noqa: E731
-        self.client = Client((HOST, port), _frames, tell, log, random.Random(1))
-        self.client.feed.held = 1
+        self.client = JournalClient((HOST, port), _frames, tell, log, random.Random(1))
+        self.client.sequence.last_number = 1
 
     async def __aenter__(self):
         self.task = asyncio.ensure_future(self.client.run())
@@ -686,15 +686,15 @@
 
         async with Journal(serve) as service, Following(service.port, once_wrong) as one:
             await until(lambda: len(told) == 2)
-            assert told == [2, 2] and service.asked[:2] == [1, 1] and one.client.feed.held == 2
+            assert told == [2, 2] and service.asked[:2] == [1, 1] and one.client.sequence.last_number == 2
             assert any("planted" in fields.get("why", "") for _, fields in one.lines)
 
     run(main())
 
 
 def test_a_new_address_is_asked_at_once_out_of_a_long_rest(monkeypatch):
-    monkeypatch.setattr(journal, "AGAIN_S", (600.0, 700.0))
-    monkeypatch.setattr(journal, "MOST_AGAIN_S", 600.0)
+    monkeypatch.setattr(journal, "RETRY_DELAY_RANGE_S", (600.0, 700.0))
+    monkeypatch.setattr(journal, "MAX_RETRY_DELAY_S", 600.0)
 
     async def main():
         async def serve(service, number, writer):
@@ -703,14 +703,14 @@
         told = []
         async with Journal(serve) as service, Following(1, told.append) as one:
             await until(lambda: one.lines)  # refused, and resting
-            one.client.move((HOST, service.port))
+            one.client.reconnect((HOST, service.port))
             await until(lambda: told)
 
     run(main())
 
 
 def test_a_stall_of_our_own_is_no_silence_where_bytes_wait(monkeypatch):
-    monkeypatch.setattr(journal, "SILENT_S", 0.3)
+    monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
 
     async def main():
         writers = []
@@ -732,7 +732,7 @@
 
 
 def test_a_frame_that_trickles_for_ever_is_silence(monkeypatch):
-    monkeypatch.setattr(journal, "SILENT_S", 0.3)
+    monkeypatch.setattr(journal, "SILENCE_TIMEOUT_S", 0.3)
 
     async def main():
         async def serve(service, number, writer):
@@ -765,24 +765,24 @@
         told = []
         async with Journal(serve) as service, Following(service.port, told.append) as one:
             await until(lambda: len(told) == 2)
-            assert service.asked == [1, 1] and one.client.feed.held == 3
+            assert service.asked == [1, 1] and one.client.sequence.last_number == 3
 
     run(main())
 
 
 def test_known_events_with_a_gap_are_left_to_the_service():
     told, lines = [], []
-    client = Client((HOST, 1), _frames, told.append, lambda *a, **f: lines.append(f), random.Random(1))
+    client = JournalClient((HOST, 1), _frames, told.append, lambda *a, **f: lines.append(f), random.Random(1))
     worker = journal.Worker("s-00000001", (HOST, 80), next(iter(journal._STATES)), "east", "std", 0, 1.0, 0.0)
     whole = journal.Event(1, True, (worker,))
-    client.start([whole, journal.Event(3, False, (worker,))])
-    assert [event.number for event in told] == [1] and client.feed.held == 1 and lines
+    client.apply_initial([whole, journal.Event(3, False, (worker,))])
+    assert [event.number for event in told] == [1] and client.sequence.last_number == 1 and lines
 
 
 def test_a_whole_list_with_a_lower_number_is_a_repeat():
-    feed = journal.Feed()
-    feed.held = 5
-    assert not feed.take(journal.Event(3, True, ())) and feed.held == 5
+    sequence = journal.EventSequence()
+    sequence.last_number = 5
+    assert not sequence.accept(journal.Event(3, True, ())) and sequence.last_number == 5
 
 
 # Turns and tables.
