--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -32,11 +32,11 @@
 import psutil
 
 from benchmarks import path as bench
-from swiftwell.fleet.lease import choose
+from swiftwell.fleet.lease import choose_voters
 from swiftwell.fleet.link import FleetLink
 from swiftwell.fleet.members import Status
 from swiftwell.fleet.node import FleetSettings
-from swiftwell.fleet.shares import MILLION, STANDING
+from swiftwell.fleet.shares import RESERVED_PPM, TOTAL_PPM
 from swiftwell.lab.town import Town
 from swiftwell.lab.zone import Zone
 from swiftwell.proof import days
@@ -233,7 +233,7 @@
 def spared(size: int) -> int:
     """From where on half may die so that two of the three who grant the lender's lease live."""
     names = [f"gw-{n}" for n in range(size)]
-    voters = {names.index(name) for name in choose(names, "share/cold", 3)}
+    voters = {names.index(name) for name in choose_voters(names, "share/cold", 3)}
     return min(range(size), key=lambda first: sum((n + first) % size in voters for n in range(size // 2)))
 
 
@@ -242,7 +242,7 @@
 
     A part is in use from when the module is told until it runs out by itself, or the process is gone.
     """
-    own = MILLION / -(-MILLION // (STANDING // size))  # as the module divides: by a whole number
+    own = TOTAL_PPM / -(-TOTAL_PPM // (RESERVED_PPM // size))  # as the module divides: by a whole number
     steps: list[tuple[int, str, float]] = []
     spans: dict[str, list[tuple[int, int, int]]] = defaultdict(list)  # from, part by, until
     gone: dict[str, list[int]] = defaultdict(list)
@@ -259,17 +259,17 @@
                 spans[path.stem].append((told["at_us"], told["routers"], told["until_us"]))
     for gateway, found in spans.items():
         for number, (at, by, until) in enumerate(found):
-            steps.append((at, gateway, MILLION / by))
+            steps.append((at, gateway, TOTAL_PPM / by))
             after = found[number + 1][0] if number + 1 < len(found) else until
             died = any(at <= one <= until for one in gone.get(gateway, ()))
             if until and until <= after and not died:  # what is dead uses nothing
-                steps.append((until, gateway, min(own, MILLION / by)))
+                steps.append((until, gateway, min(own, TOTAL_PPM / by)))
     steps += [(at, gateway, 0.0) for gateway, times in gone.items() for at in times]
     parts: dict[str, float] = {}
     worst, sums = 0.0, []
     for at, gateway, part in sorted(steps):
         parts[gateway] = part
-        total = sum(parts.values()) / MILLION
+        total = sum(parts.values()) / TOTAL_PPM
         worst = max(worst, total)
         sums.append((at, total))
     began = sums[0][0]
@@ -350,7 +350,7 @@
     for me in range(1, len(names)):
         settings = FleetSettings(
             names, me, term_us=10_000_000, budgets=("cold",), leases=("job",),
-            boards=(("list/", tuple(range(len(names)))),),
+            replicated_logs=(("list/", tuple(range(len(names)))),),
         )  # fmt: skip
         links.append(FleetLink(settings, at[me], at, lambda *_, **__: None))
         await links[-1].start()
--- a/swiftwell/fleet/__init__.py
+++ b/swiftwell/fleet/__init__.py
@@ -1,3 +1,4 @@
-"""Routers together: who lives, who may act alone, and what part of a budget is whose.  Knows no calls and no
-workers.  Everything but `link` is without I/O and without a clock.
+"""Coordination between the routers of a fleet: membership, leases, and shares of fleet-wide budgets.
+
+Knows nothing of calls or workers.  Only `link` and `lease_exercise` do I/O and read a clock.
 """
--- a/swiftwell/fleet/link.py
+++ b/swiftwell/fleet/link.py
@@ -1,4 +1,4 @@
-"""The fleet's one datagram socket: carries `FleetNode.step`'s words, and nothing is decided here."""
+"""The datagram socket of the fleet: sends and receives for `FleetNode.step`, and makes no decisions."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 from swiftwell.fleet.members import Status
 from swiftwell.fleet.node import TICK_US, FleetNode, FleetSettings
 
-MOST_CAME = 2_048  # datagrams that wait for the next step: ten of each of 200 peers
-RATE_SWITCH = "SWIFTWELL_FLEET_CLOCK_RATE"  # tests only: how fast this process's fleet clock runs
+MAX_PENDING_DATAGRAMS = 2_048  # received datagrams that wait for the next step: ten of each of 200 peers
+CLOCK_RATE_VARIABLE = "SWIFTWELL_FLEET_CLOCK_RATE"  # tests only: the rate of this process's fleet clock
 
 
 class FleetLink(asyncio.DatagramProtocol):
-    """One router's place in its fleet.  `addresses` are those of the roster, ours included."""
+    """A router's connection to its fleet.  `addresses` are those of the roster, including our own."""
 
     def __init__(
         self,
-        told: FleetSettings,
+        settings: FleetSettings,
         listen: tuple[str, int],
         addresses: tuple[tuple[str, int], ...],
         log: Callable[..., None],
     ) -> None:
-        self._told, self._listen, self._addresses, self._log = told, listen, addresses, log
-        self._rate = float(os.environ.get(RATE_SWITCH, "1"))
-        self._began = time.monotonic_ns() // 1_000
-        now, wall = self.now_us(), time.time_ns() // 1_000_000
-        self.node = FleetNode(told, now, wall, int.from_bytes(os.urandom(4), "big"))
-        self._came: list[bytes] = []
+        self._settings, self._listen, self._addresses, self._log = settings, listen, addresses, log
+        self._rate = float(os.environ.get(CLOCK_RATE_VARIABLE, "1"))
+        self._started_at = time.monotonic_ns() // 1_000
+        now, wall_ms = self.now_us(), time.time_ns() // 1_000_000
+        self.node = FleetNode(settings, now, wall_ms, int.from_bytes(os.urandom(4), "big"))
+        self._received: list[bytes] = []
         self._transport: asyncio.DatagramTransport | None = None
-        self._woken = False
+        self._step_scheduled = False
         self._tick: asyncio.TimerHandle | None = None
-        self._held: dict[str, int] = {}
+        self._logged_tokens: dict[str, int] = {}  # lease: token at the last step, 0 if not held
         self.dropped = 0
 
     def now_us(self) -> int:
-        """The fleet's clock of this process: steady, trusted for its rate only."""
+        """The fleet clock of this process: monotonic; only its rate is relied on."""
         now = time.monotonic_ns() // 1_000
-        return self._began + int((now - self._began) * self._rate)
+        return self._started_at + int((now - self._started_at) * self._rate)
 
     async def start(self) -> None:
-        """Raises OSError."""
+        """Open the socket; raises OSError."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self._listen)
         self._step()
 
     def close(self) -> None:
-        """Give every lease up and say so."""
+        """Release all leases, tell the voters, and close the socket."""
         for name in self.node.leases:
-            self.node.want(self.now_us(), name, False)
+            self.node.set_lease_wanted(self.now_us(), name, False)
         self._step()
         if self._tick:
             self._tick.cancel()
@@ -60,43 +60,43 @@
             self._transport = None
 
     def wake(self) -> None:
-        """Take a step in this turn: something is to be said."""
-        if not self._woken:
-            self._woken = True
+        """Schedule a step in this iteration of the event loop, as there is something to handle or send."""
+        if not self._step_scheduled:
+            self._step_scheduled = True
             asyncio.get_running_loop().call_soon(self._step)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Kept for this turn's step."""
-        if len(self._came) >= MOST_CAME:
+        """Queue a datagram for the next step."""
+        if len(self._received) >= MAX_PENDING_DATAGRAMS:
             self.dropped += 1
             return
-        self._came.append(data)
+        self._received.append(data)
         self.wake()
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is away answers so; its silence tells enough."""
+        """Ignored: caused by sending to a peer that is down, which the failure detector notices anyhow."""
 
     def _step(self) -> None:
-        self._woken = False
+        self._step_scheduled = False
         if self._transport is None:
             return
-        came, self._came = self._came, []
+        received, self._received = self._received, []
         now = self.now_us()
-        for to, raw in self.node.step(now, came):
+        for to, raw in self.node.step(now, received):
             self.send(to, raw)
-        self._tell(now)
+        self._log_changes(now)
         if self._tick:
             self._tick.cancel()
         self._tick = asyncio.get_running_loop().call_later(TICK_US / 1e6, self._step)
 
     def send(self, to: int, raw: bytes) -> None:
-        """One datagram to a position of the roster."""
+        """Send one datagram to the member with this roster index."""
         if self._transport is not None:
             self._transport.sendto(raw, self._addresses[to])
 
-    def _tell(self, now: int) -> None:
-        """Log lines for what changed."""
-        roster = self._told.roster
+    def _log_changes(self, now: int) -> None:
+        """Log the changes of members and leases."""
+        roster = self._settings.roster
         members = self.node.members
         changes, members.changes = members.changes, []
         for number, status in changes:
@@ -104,11 +104,11 @@
             self._log(level, "fleet-member", member=roster[number], status=status.name.lower())
         for name, lease in self.node.leases.items():
             token = lease.token if lease.holds(now) else 0
-            if bool(token) != bool(self._held.get(name, 0)):
+            if bool(token) != bool(self._logged_tokens.get(name, 0)):
                 self._log("info", "fleet-lease", lease=name, held=bool(token), token=lease.token)
-            self._held[name] = token
+            self._logged_tokens[name] = token
 
 
-def key_of(path: str) -> bytes:
-    """The key file's bytes; raises OSError.  Empty where none is set."""
+def read_key(path: str) -> bytes:
+    """The content of the key file, or empty if none is configured; raises OSError."""
     return Path(path).read_bytes().strip() if path else b""
--- a/swiftwell/fleet/members.py
+++ b/swiftwell/fleet/members.py
@@ -1,13 +1,13 @@
-"""Who of the configured roster lives.  No I/O.
+"""Failure detection: which members of the configured roster are alive.  No I/O.
 
-After Das and others, "SWIM" (probes in turn, by way of others, suspicion that can be refuted, news that
-travels on what is sent anyhow), and Dadgar and others, "Lifeguard" (own slowness is held against oneself
-first).  What a router sends and receives for this is bounded whatever the fleet's size: a ping and an ack a
-period, ASKED more where an ack is missing.
+After Das and others, "SWIM" (probes in round-robin order, indirect probes through other members, suspicion
+that can be refuted, updates piggybacked on other messages), and Dadgar and others, "Lifeguard" (a member that
+is slow itself first lengthens its own time limits).  The traffic of a router for this is bounded whatever the
+size of the fleet: one ping and one ack a period, and INDIRECT_PINGS more if an ack is missing.
 
-A member is told from its earlier runs by its life, a number that grows with each start; within a life its
-turn grows with each refutation.  This view decides whom to ask and what to expect, never who may act: leases
-are granted by configured voters, whoever lives.
+The incarnation of a member grows with each start and so distinguishes its runs; within an incarnation, its
+suspicion version grows with each refutation.  This view decides whom to contact and what to expect, never who
+may act: leases are granted by the configured voters, whether they are seen alive or not.
 """
 
 from __future__ import annotations
@@ -19,26 +19,30 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from swiftwell.fleet.words import Ack, Ask, News, Ping, Word
-
-PERIOD_US = 1_000_000  # us between two probes of ours: a router sends some bytes a second for this
-ACK_PART = 0.35  # of a period until an ack is missed and others are asked: a LAN's datagram takes a hundredth
-PING_AGAIN = 0.12  # of a period until a ping without an ack is said again: twice before others are asked, as
-# with three datagrams in ten lost one ping in two has none, and suspicions outran what news can refute
-ASKED = 3  # members asked to ping one that did not answer us: sees through one-way cuts and losses of our own
-SUSPECT_PERIODS = 3.0  # periods, times the digits of the roster's size, until a suspected one counts as dead
-NEWS_TURNS = 3.0  # times the binary digits of that size that one piece of news is passed on
-NEWS_EACH = 10  # pieces of news on a datagram: with a ping they stay under its bound of 256 bytes
-NEWCOMER = 20  # datagrams to one that has just started that are filled up with what we hold of others, as
-# news of those who changed lately does not tell it of the rest, whom it would only meet one a period
-WORST_HEALTH = 8  # of our own: periods and time limits stretch up to nine times
-AWAY_PERIODS = 2.0  # periods without a tick after which we take it that we stood still, and not the others
-DEAD_EVERY = 4  # periods between two pings of one that counts as dead: how a healed cut is noticed
-MOST_RELAYS = 64  # pings made for others that may wait for their ack
+from swiftwell.fleet.messages import Ack, IndirectPing, MembershipUpdate, Message, Ping
+
+PERIOD_US = 1_000_000  # us between two probes of a router: costs it some bytes a second
+# Fraction of a period after which a missing ack triggers indirect pings: a datagram on a LAN takes a
+# Hundredth.
+ACK_TIMEOUT_PERIODS = 0.35
+# Fraction of a period after which an unanswered ping is sent again, twice before the indirect pings: at 30 %
+# Datagram loss one ping in two gets no ack, and suspicions arose faster than updates could refute them.
+PING_RETRY_PERIODS = 0.12
+INDIRECT_PINGS = 3  # members asked to ping one that did not answer: covers one-way cuts and own packet loss
+SUSPICION_PERIODS = 3.0  # periods, times log10 of the roster's size, until a suspected member counts as dead
+UPDATE_TRANSMISSIONS = 3.0  # times log2 of the roster's size that an update is sent
+MAX_UPDATES_PER_DATAGRAM = 10  # with a ping they stay under the limit of 256 bytes
+# Datagrams to a member that has just started that are filled up with the status of other members: updates
+# Cover recent changes only, and it would learn of the rest at one member a period.
+NEWCOMER_DATAGRAMS = 20
+MAX_LOCAL_HEALTH = 8  # of the local health score: periods and time limits stretch up to nine times
+PAUSE_PERIODS = 2.0  # periods without a step after which this process is assumed to have been paused
+DEAD_PROBE_PERIODS = 4  # periods between two pings to dead members: detects that a partition has healed
+MAX_RELAYED_PINGS = 64  # pings sent for other members that may wait for their ack
 
 
 class Status(IntEnum):
-    """What we hold of a member."""
+    """The status of a member as this router sees it."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -47,277 +51,301 @@
 
 @dataclass(slots=True)
 class Member:
-    """One of the roster."""
+    """The state of one member of the roster."""
 
-    status: Status = Status.DEAD  # until it has been heard of
-    life: int = 0
-    turn: int = 0
-    since: int = 0  # when its status became this
-    until: int = 0  # when a suspected one counts as dead
+    status: Status = Status.DEAD  # until the first contact
+    incarnation: int = 0
+    suspicion_version: int = 0
+    status_since: int = 0
+    suspicion_expires_at: int = 0  # a suspected member counts as dead from then on
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """What is newer wins; at the same life and turn the worse word does."""
-        return self.life, self.turn, self.status
+    def precedence(self) -> tuple[int, int, int]:
+        """Newer updates win; at the same incarnation and suspicion version the worse status wins."""
+        return self.incarnation, self.suspicion_version, self.status
 
 
 @dataclass(slots=True)
 class _Probe:
-    of: int
+    target: int
     number: int
-    sent: int
-    said: int  # when it was last said
-    asked: bool = False
+    started_at: int
+    last_sent_at: int
+    indirect: bool = False  # whether other members have been asked to ping the target
 
 
 class Members:
-    """One router's view.  `me` is its position in the roster of `size`."""
+    """One router's view of the members.  `me` is its own index in the roster of `size`."""
 
     def __init__(
-        self, me: int, size: int, life: int, now: int, seed: int, period_us: int = PERIOD_US
+        self, me: int, size: int, incarnation: int, now: int, seed: int, period_us: int = PERIOD_US
     ) -> None:
-        self.me, self.size, self.life, self.turn = me, size, life, 0
+        self.me, self.size, self.incarnation, self.suspicion_version = me, size, incarnation, 0
         self.period_us = period_us
-        self.table = {number: Member(since=now) for number in range(size) if number != me}
-        self.health = 0  # 0 is well; each own failing adds one
-        self.changes: list[tuple[int, Status]] = []  # since the user last took them
+        self.table = {number: Member(status_since=now) for number in range(size) if number != me}
+        self.local_health = 0  # Lifeguard's local health: 0 is healthy, each sign of own slowness adds one
+        self.changes: list[tuple[int, Status]] = []  # status changes that the caller has not collected yet
         self.counts = dict.fromkeys(("pings", "missed", "suspected", "died", "refuted", "paused"), 0)
-        self._chance = random.Random(f"{seed}/{me}/{life}")
-        self._patience = SUSPECT_PERIODS * max(1.0, math.log10(size + 1))
-        self._turns = NEWS_TURNS * math.log2(size + 1)
-        self._heard = now  # when anybody spoke to us last
-        self._order: list[int] = []
-        self._dead_order: list[int] = []
+        self._random = random.Random(f"{seed}/{me}/{incarnation}")
+        self._suspicion_periods = SUSPICION_PERIODS * max(1.0, math.log10(size + 1))
+        self._max_transmissions = UPDATE_TRANSMISSIONS * math.log2(size + 1)
+        self._last_received_at = now  # from any member
+        self._probe_order: list[int] = []
+        self._dead_probe_order: list[int] = []
         self._probe: _Probe | None = None
-        self._number = 0
+        self._last_number = 0  # of our pings
         self._periods = 0
-        self._next_at = now + int(self._chance.random() * period_us)  # starts of a whole fleet are spread
-        self._ticked = now
-        self._relays: dict[int, tuple[int, int]] = {}  # number of our ping: who asked, with which number
-        # News by how often each piece is still to be told, most first; with 200 members sorting all of it for
-        # each datagram was a third of what a router took for its fleet.
-        self._news: list[dict[int, None]] = [{} for _ in range(math.ceil(self._turns) + 1)]
-        self._left: dict[int, int] = {}  # member: where its news stands in that
+        # The first period starts at a random time, so that the probes of a whole fleet are spread.
+        self._next_period_at = now + int(self._random.random() * period_us)
+        self._last_step_at = now
+        self._relays: dict[int, tuple[int, int]] = {}  # number of our ping: requester, and its number there
+        # Members to send updates of, by the number of transmissions left, the most last.  Sorting all updates
+        # For each datagram took a third of the fleet's CPU time of a router with 200 members.
+        self._pending_updates: list[dict[int, None]] = [
+            {} for _ in range(math.ceil(self._max_transmissions) + 1)
+        ]
+        self._transmissions_left: dict[int, int] = {}  # member: index of its update in `_pending_updates`
         self._suspects: set[int] = set()
         self._newcomers: dict[int, int] = {}  # member: datagrams to it that are still filled up
         self._alive: list[int] = [me]
 
-    # What the others see.
+    # The view, and periodic work.
 
     def alive(self) -> list[int]:
-        """Positions of those that live, ourselves and the suspected included."""
+        """Indexes of the members that count as alive, including this router and the suspected ones."""
         return self._alive
 
-    def step(self, now: int) -> list[tuple[int, Word]]:
-        """What is due."""
-        out: list[tuple[int, Word]] = []
-        gap = now - self._ticked
-        self._ticked = now
-        if gap > AWAY_PERIODS * self.period_us:
-            self._woke(now, gap)
+    def step(self, now: int) -> list[tuple[int, Message]]:
+        """Do what is due; return the messages to send."""
+        outgoing: list[tuple[int, Message]] = []
+        gap = now - self._last_step_at
+        self._last_step_at = now
+        if gap > PAUSE_PERIODS * self.period_us:
+            self._resume_after_pause(now, gap)
         probe = self._probe
-        if probe and not probe.asked and now - probe.said >= PING_AGAIN * self._period():
-            probe.said = now
-            out.append((probe.of, Ping(probe.number)))
-        if probe and not probe.asked and now - probe.sent >= ACK_PART * self._period():
-            probe.asked = True
-            if self._heard < probe.sent:  # nobody's word came since: it may well be us
-                self._worse()
+        if probe and not probe.indirect and now - probe.last_sent_at >= PING_RETRY_PERIODS * self._period():
+            probe.last_sent_at = now
+            outgoing.append((probe.target, Ping(probe.number)))
+        if probe and not probe.indirect and now - probe.started_at >= ACK_TIMEOUT_PERIODS * self._period():
+            probe.indirect = True
+            if self._last_received_at < probe.started_at:  # nothing from any member: the fault may be ours
+                self._worsen_local_health()
             self.counts["missed"] += 1
-            others = [n for n in self.alive() if n not in (self.me, probe.of)]
-            for helper in self._chance.sample(others, min(ASKED, len(others))):
-                out.append((helper, Ask(probe.number, probe.of)))
+            others = [number for number in self.alive() if number not in (self.me, probe.target)]
+            for helper in self._random.sample(others, min(INDIRECT_PINGS, len(others))):
+                outgoing.append((helper, IndirectPing(probe.number, probe.target)))
         for number in sorted(self._suspects):
-            one = self.table[number]
-            if now >= one.until:
-                self._set(now, number, one.life, one.turn, Status.DEAD)
-        if now >= self._next_at:
-            out += self._new_period(now)
-        return out
+            member = self.table[number]
+            if now >= member.suspicion_expires_at:
+                self._set_status(now, number, member.incarnation, member.suspicion_version, Status.DEAD)
+        if now >= self._next_period_at:
+            outgoing += self._start_period(now)
+        return outgoing
 
     def _period(self) -> float:
-        return self.period_us * (1 + self.health)
+        return self.period_us * (1 + self.local_health)
 
-    def _new_period(self, now: int) -> list[tuple[int, Word]]:
+    def _start_period(self, now: int) -> list[tuple[int, Message]]:
         probe, self._probe = self._probe, None
         if probe is not None:
-            one = self.table[probe.of]
-            if one.status is Status.ALIVE:
-                self._suspect(now, probe.of, one.life, one.turn)
+            member = self.table[probe.target]
+            if member.status is Status.ALIVE:
+                self._suspect(now, probe.target, member.incarnation, member.suspicion_version)
         self._periods += 1
-        self._next_at = now + int(self._period())
-        out: list[tuple[int, Word]] = []
+        self._next_period_at = now + int(self._period())
+        outgoing: list[tuple[int, Message]] = []
         if (
-            self._periods % DEAD_EVERY == 0
-            and (of := self._turn_of(self._dead_order, Status.DEAD)) is not None
+            self._periods % DEAD_PROBE_PERIODS == 0
+            and (target := self._next_target(self._dead_probe_order, Status.DEAD)) is not None
         ):
-            out.append(self._ping(of))  # only to be heard of again: nothing follows from silence
-        of = self._turn_of(self._order, Status.ALIVE, Status.SUSPECT)
-        if of is None:
-            of = self._turn_of(self._dead_order, Status.DEAD)
-            if of is None:
-                return out
-            return [*out, self._ping(of)]
-        ping = self._ping(of)
-        self._probe = _Probe(of, self._number, now, now)
+            outgoing.append(self._new_ping(target))  # only an answer counts: a missing ack changes nothing
+        target = self._next_target(self._probe_order, Status.ALIVE, Status.SUSPECT)
+        if target is None:
+            target = self._next_target(self._dead_probe_order, Status.DEAD)
+            if target is None:
+                return outgoing
+            return [*outgoing, self._new_ping(target)]
+        ping = self._new_ping(target)
+        self._probe = _Probe(target, self._last_number, now, now)
         self.counts["pings"] += 1
-        return [*out, ping]
+        return [*outgoing, ping]
 
-    def _ping(self, of: int, by: int = -1) -> tuple[int, Ping]:
-        self._number += 1
-        return of, Ping(self._number, by)
+    def _new_ping(self, target: int, requester: int = -1) -> tuple[int, Ping]:
+        self._last_number += 1
+        return target, Ping(self._last_number, requester)
 
-    def _turn_of(self, order: list[int], *wanted: Status) -> int | None:
-        """Members in turn, in an order that is drawn anew each round."""
+    def _next_target(self, order: list[int], *wanted: Status) -> int | None:
+        """The next member in round-robin order; the order is shuffled anew each round."""
         for _ in range(2):
             while order:
-                of = order.pop()
-                if self.table[of].status in wanted:
-                    return of
-            order += [n for n, one in self.table.items() if one.status in wanted]
-            self._chance.shuffle(order)
+                target = order.pop()
+                if self.table[target].status in wanted:
+                    return target
+            order += [number for number, member in self.table.items() if member.status in wanted]
+            self._random.shuffle(order)
         return None
 
-    def _woke(self, now: int, gap: int) -> None:
-        """We stood still: what was out meanwhile tells nothing of others, and they may hold us for dead."""
+    def _resume_after_pause(self, now: int, gap: int) -> None:
+        """Continue after a pause of this process.
+
+        Probes that were open say nothing about their targets, and other members may count this one as dead.
+        """
         self.counts["paused"] += 1
-        self._worse()
+        self._worsen_local_health()
         self._probe = None
         self._relays.clear()
         for number in self._suspects:
-            self.table[number].until += gap
+            self.table[number].suspicion_expires_at += gap
         self._refute(0)
-        self._next_at = now
+        self._next_period_at = now
 
-    def _worse(self) -> None:
-        self.health = min(WORST_HEALTH, self.health + 1)
+    def _worsen_local_health(self) -> None:
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
 
-    # What comes in.
+    # Incoming messages.
 
-    def heard(self, now: int, sender: int, life: int) -> None:
-        """A member spoke to us itself: it lives, in this life."""
-        one = self.table.get(sender)
-        if one is None:
+    def record_contact(self, now: int, sender: int, incarnation: int) -> None:
+        """A datagram came directly from a member: it is alive in this incarnation."""
+        member = self.table.get(sender)
+        if member is None:
             return
-        if life < one.life:
+        if incarnation < member.incarnation:
             return  # a late datagram of an earlier run
-        self._heard = now
-        if life > one.life:
-            self._newcomers[sender] = NEWCOMER
-            self._set(now, sender, life, 0, Status.ALIVE)
-
-    def take(self, now: int, sender: int, word: Word) -> list[tuple[int, Word]]:
-        """A member's word, of the life that `heard` was told of."""
-        match word:
+        self._last_received_at = now
+        if incarnation > member.incarnation:
+            self._newcomers[sender] = NEWCOMER_DATAGRAMS
+            self._set_status(now, sender, incarnation, 0, Status.ALIVE)
+
+    def handle(self, now: int, sender: int, message: Message) -> list[tuple[int, Message]]:
+        """Handle a message, after `record_contact` for its datagram; return the replies."""
+        match message:
             case Ping():
-                return [(sender, Ack(word.number)), *self._told_wrong(sender)]
+                return [(sender, Ack(message.number)), *self._status_notice(sender)]
             case Ack():
-                return self._acked(now, sender, word)
-            case Ask() if word.of in self.table and word.of != sender and len(self._relays) < MOST_RELAYS:
-                ping = self._ping(word.of, sender)
-                self._relays[self._number] = sender, word.number
+                return self._handle_ack(now, sender, message)
+            case IndirectPing() if (
+                message.target in self.table
+                and message.target != sender
+                and len(self._relays) < MAX_RELAYED_PINGS
+            ):
+                ping = self._new_ping(message.target, sender)
+                self._relays[self._last_number] = sender, message.number
                 return [ping]
-            case News():
-                self._told(now, word)
+            case MembershipUpdate():
+                self._handle_update(now, message)
         return []
 
-    def _told_wrong(self, sender: int) -> list[tuple[int, Word]]:
-        """One that pings us while we hold it for suspected or dead has to hear so, to refute it."""
-        one = self.table[sender]
-        if one.status is Status.ALIVE:
+    def _status_notice(self, sender: int) -> list[tuple[int, Message]]:
+        """Tell a sender that is held as suspected or dead, so that it can refute it."""
+        member = self.table[sender]
+        if member.status is Status.ALIVE:
             return []
-        return [(sender, News(sender, one.life, one.turn, one.status))]
-
-    def _acked(self, now: int, sender: int, word: Ack) -> list[tuple[int, Word]]:
-        of = sender if word.of < 0 else word.of
-        if word.of < 0 and word.number in self._relays:
-            asker, number = self._relays.pop(word.number)
-            return [(asker, Ack(number, sender))]
+        return [
+            (sender, MembershipUpdate(sender, member.incarnation, member.suspicion_version, member.status))
+        ]
+
+    def _handle_ack(self, now: int, sender: int, message: Ack) -> list[tuple[int, Message]]:
+        responder = sender if message.responder < 0 else message.responder
+        if message.responder < 0 and message.number in self._relays:
+            requester, number = self._relays.pop(message.number)
+            return [(requester, Ack(number, sender))]
         probe = self._probe
-        if probe and probe.number == word.number and probe.of == of:
+        if probe and probe.number == message.number and probe.target == responder:
             self._probe = None
-            self.health = max(0, self.health - 1)
-        return self._told_wrong(sender)
+            self.local_health = max(0, self.local_health - 1)
+        return self._status_notice(sender)
 
-    def _told(self, now: int, word: News) -> None:
-        if word.state not in (0, 1, 2):
+    def _handle_update(self, now: int, message: MembershipUpdate) -> None:
+        if message.status not in (0, 1, 2):
             return
-        status = Status(word.state)
-        if word.of == self.me:
-            if word.life > self.life:  # our clock was set back since an earlier run of ours
-                self.life, self.turn = word.life + 1, 0
-                self._say(self.me)
-            elif word.life == self.life and status is not Status.ALIVE and word.turn >= self.turn:
-                self._worse()
-                self._refute(word.turn)
+        status = Status(message.status)
+        if message.member == self.me:
+            if message.incarnation > self.incarnation:  # our clock was set back since an earlier run
+                self.incarnation, self.suspicion_version = message.incarnation + 1, 0
+                self._queue_update(self.me)
+            elif (
+                message.incarnation == self.incarnation
+                and status is not Status.ALIVE
+                and message.suspicion_version >= self.suspicion_version
+            ):
+                self._worsen_local_health()
+                self._refute(message.suspicion_version)
             return
-        one = self.table.get(word.of)
-        if one is None or (word.life, word.turn, status) <= one.rank:
+        member = self.table.get(message.member)
+        if member is None or (message.incarnation, message.suspicion_version, status) <= member.precedence:
             return
         if status is Status.SUSPECT:
-            self._suspect(now, word.of, word.life, word.turn)
+            self._suspect(now, message.member, message.incarnation, message.suspicion_version)
         else:
-            self._set(now, word.of, word.life, word.turn, status)
+            self._set_status(now, message.member, message.incarnation, message.suspicion_version, status)
 
-    def _refute(self, turn: int) -> None:
-        self.turn = max(self.turn, turn) + 1
+    def _refute(self, suspicion_version: int) -> None:
+        self.suspicion_version = max(self.suspicion_version, suspicion_version) + 1
         self.counts["refuted"] += 1
-        self._say(self.me)
+        self._queue_update(self.me)
 
-    def _suspect(self, now: int, of: int, life: int, turn: int) -> None:
-        """Not dead yet: it has this long to say otherwise, longer where we are not well ourselves."""
+    def _suspect(self, now: int, number: int, incarnation: int, suspicion_version: int) -> None:
+        """Give a member time to refute the suspicion; more time if this router is slow itself."""
         self.counts["suspected"] += 1
-        self._set(now, of, life, turn, Status.SUSPECT)
-        self.table[of].until = now + int(self._patience * self._period())
+        self._set_status(now, number, incarnation, suspicion_version, Status.SUSPECT)
+        self.table[number].suspicion_expires_at = now + int(self._suspicion_periods * self._period())
 
-    def _set(self, now: int, of: int, life: int, turn: int, status: Status) -> None:
-        one = self.table[of]
-        if status is Status.DEAD and one.status is not Status.DEAD:
+    def _set_status(
+        self, now: int, number: int, incarnation: int, suspicion_version: int, status: Status
+    ) -> None:
+        member = self.table[number]
+        if status is Status.DEAD and member.status is not Status.DEAD:
             self.counts["died"] += 1
-        if status is not one.status:
-            one.since = now
-            self.changes.append((of, status))
-        one.life, one.turn, one.status = life, turn, status
-        (self._suspects.add if status is Status.SUSPECT else self._suspects.discard)(of)
-        at = bisect.bisect_left(self._alive, of)
-        there = at < len(self._alive) and self._alive[at] == of
-        if there and status is Status.DEAD:
+        if status is not member.status:
+            member.status_since = now
+            self.changes.append((number, status))
+        member.incarnation, member.suspicion_version, member.status = incarnation, suspicion_version, status
+        (self._suspects.add if status is Status.SUSPECT else self._suspects.discard)(number)
+        at = bisect.bisect_left(self._alive, number)
+        present = at < len(self._alive) and self._alive[at] == number
+        if present and status is Status.DEAD:
             del self._alive[at]
-        elif not there and status is not Status.DEAD:
-            self._alive.insert(at, of)
-        self._say(of)
-
-    # News that travels along.
-
-    def _say(self, of: int) -> None:
-        if (was := self._left.get(of)) is not None:
-            del self._news[was][of]
-        self._left[of] = len(self._news) - 1
-        self._news[-1][of] = None
-
-    def news(self, to: int) -> list[News]:
-        """What goes along to a member: what was told least so far."""
-        told = list(itertools.islice(itertools.chain.from_iterable(reversed(self._news)), NEWS_EACH))
-        out = []
-        for of in told:
-            left = self._left.pop(of)
-            del self._news[left][of]
+        elif not present and status is not Status.DEAD:
+            self._alive.insert(at, number)
+        self._queue_update(number)
+
+    # Updates piggybacked on outgoing datagrams.
+
+    def _queue_update(self, number: int) -> None:
+        if (left := self._transmissions_left.get(number)) is not None:
+            del self._pending_updates[left][number]
+        self._transmissions_left[number] = len(self._pending_updates) - 1
+        self._pending_updates[-1][number] = None
+
+    def updates_for(self, to: int) -> list[MembershipUpdate]:
+        """The updates to piggyback on a datagram to a member: those that were sent least often so far."""
+        chosen = list(
+            itertools.islice(
+                itertools.chain.from_iterable(reversed(self._pending_updates)), MAX_UPDATES_PER_DATAGRAM
+            )
+        )
+        updates = []
+        for number in chosen:
+            left = self._transmissions_left.pop(number)
+            del self._pending_updates[left][number]
             if left > 1:
-                self._left[of] = left - 1
-                self._news[left - 1][of] = None
-            if of == self.me:
-                out.append(News(of, self.life, self.turn, Status.ALIVE))
-            elif of != to:
-                out.append(self._piece(of))
+                self._transmissions_left[number] = left - 1
+                self._pending_updates[left - 1][number] = None
+            if number == self.me:
+                updates.append(
+                    MembershipUpdate(number, self.incarnation, self.suspicion_version, Status.ALIVE)
+                )
+            elif number != to:
+                updates.append(self._update_of(number))
         if left := self._newcomers.get(to):
             self._newcomers[to] = left - 1
             if left == 1:
                 del self._newcomers[to]
-            known = [of for of in self._alive if of not in (self.me, to) and of not in told]
-            room = min(NEWS_EACH - len(out), len(known))
-            out += [self._piece(of) for of in self._chance.sample(known, room)]
-        return out
-
-    def _piece(self, of: int) -> News:
-        one = self.table[of]
-        return News(of, one.life, one.turn, one.status)
+            known = [number for number in self._alive if number not in (self.me, to) and number not in chosen]
+            room = min(MAX_UPDATES_PER_DATAGRAM - len(updates), len(known))
+            updates += [self._update_of(number) for number in self._random.sample(known, room)]
+        return updates
+
+    def _update_of(self, number: int) -> MembershipUpdate:
+        member = self.table[number]
+        return MembershipUpdate(number, member.incarnation, member.suspicion_version, member.status)
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -28,10 +28,10 @@
 from swiftwell import interface as io
 from swiftwell.discovery import sources
 from swiftwell.discovery.keeper import Keeper
-from swiftwell.fleet.drill import Drill
-from swiftwell.fleet.link import FleetLink, key_of
+from swiftwell.fleet.lease_exercise import LeaseExercise
+from swiftwell.fleet.link import FleetLink, read_key
 from swiftwell.fleet.node import FleetSettings
-from swiftwell.fleet.shares import MILLION, Share
+from swiftwell.fleet.shares import TOTAL_PPM, Share
 from swiftwell.fronts.host import Backoff
 from swiftwell.fronts.mqtt.codec import V5, V311, Connect, Reason
 from swiftwell.fronts.mqtt.contract import Contract
@@ -75,7 +75,7 @@
         self.site = site
         told = site.told()
         if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may have all that is lent
-            own = Share("cold", len(site.fleet.member)).own
+            own = Share("cold", len(site.fleet.member)).reserved_ppm
             told = replace(told, routers=routers(own))
         super().__init__(logs, {band.name: band.effect for band in told.classes})
         self._chance = random.Random(f"{site.name}/{self.clock.wall_us()}")
@@ -92,7 +92,9 @@
         )
         self.link = Link(site.name, bounds, self._from_workers, self.log, self.clock.started_us)
         if w.worker_connections and site.fleet:  # no loan yet
-            self.link.allow(w.worker_connections * Share("", len(site.fleet.member)).own // MILLION)
+            self.link.allow(
+                w.worker_connections * Share("", len(site.fleet.member)).reserved_ppm // TOTAL_PPM
+            )
         self.keeper: Keeper | None = None
         self._service: sources.ListService | None = None
         self._lock = -1
@@ -354,7 +356,7 @@
                     fleet.budgets,
                     fleet.before,
                     self._boards(zone, shared),
-                    key_of(fleet.key_file),
+                    read_key(fleet.key_file),
                 )
                 addresses = tuple(host_port(one.at) for one in fleet.member)
                 listen = host_port(fleet.listen) if fleet.listen else addresses[me]
@@ -397,7 +399,9 @@
         if looks:
             self._tasks.append(asyncio.ensure_future(self._keep_looking(looks)))
         drills = [
-            Drill(link, one.lease, self.site.name, host_port(one.resource), one.act_ms / 1e3, self.log).run()
+            LeaseExercise(
+                link, one.lease, self.site.name, host_port(one.resource), one.act_ms / 1e3, self.log
+            ).run()
             for one in fleet.drill
         ]
         await asyncio.gather(*drills)
@@ -431,16 +435,16 @@
     def _acting_by_part(self, link: FleetLink) -> Callable[[], None]:
         """Tell the module what part of the fleet's budget for starting workers is ours."""
         share = link.node.shares["cold"]
-        part, before = Part(share.own), (0, 0)
+        part, before = Part(share.reserved_ppm), (0, 0)
 
         def look() -> None:
             nonlocal before
             now = link.now_us()
-            divide, until = part.look(now, share.parts(now)), share.ends(now)
+            divide, until = part.look(now, share.ppm(now)), share.loan_expires_at(now)
             if (divide, until) != before:
                 before = divide, until
                 ends = self.clock.now_us() + until - now if until else 0
-                self.engine.divide_by(divide, ends, routers(share.own))
+                self.engine.divide_by(divide, ends, routers(share.reserved_ppm))
                 self.log("debug", "fleet-part", routers=divide, at_us=self.clock.now_us(), until_us=ends)
 
         return look
@@ -451,8 +455,8 @@
         Rises and falls at once, half a step late at most; a process that stands still keeps what is open.
         """
         share, now = link.node.shares["connections"], link.now_us()
-        parts = min(share.parts(now), share.parts(now + int(2e6 * LOOK_S)))
-        self.link.allow(self.site.workers.worker_connections * parts // MILLION)
+        parts = min(share.ppm(now), share.ppm(now + int(2e6 * LOOK_S)))
+        self.link.allow(self.site.workers.worker_connections * parts // TOTAL_PPM)
 
     def _admit(self, packet: Connect) -> Reason | None:
         users = self.site.listener.user if self.site.listener else ()
--- a/swiftwell/lab/zone.py
+++ b/swiftwell/lab/zone.py
@@ -23,7 +23,7 @@
         workers: int = 50,
     ) -> None:
         group = tuple(range(size))
-        super().__init__(size, seed, boards=(("list", group),), period_us=500_000)
+        super().__init__(size, seed, replicated_logs=(("list", group),), period_us=500_000)
         self.rate, self.group = rate, group
         self.rows = {f"127.0.0.1:{40_000 + n}": b"row %d" % n + b"x" * 24 for n in range(workers)}
         self.up = True
@@ -73,7 +73,7 @@
 
     def has(self, me: int) -> bool:
         """Whether one has the list as it is."""
-        return self.nodes[me].boards["list"].entries() == self.rows
+        return self.nodes[me].replicated_logs["list"].entries() == self.rows
 
     def readers(self) -> list[int]:
         """Who reads."""
--- a/swiftwell/proof/explore.py
+++ b/swiftwell/proof/explore.py
@@ -16,10 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swiftwell.fleet.guard import Act, Guard
-from swiftwell.fleet.lease import RATE, ROUND_PART, Candidate, Voter
-from swiftwell.fleet.shares import MILLION, Lender, Share
-from swiftwell.fleet.words import Loan, Want, Word
+from swiftwell.fleet.guard import Guard, Permit
+from swiftwell.fleet.lease import MAX_CLOCK_DRIFT, ROUND_TIMEOUT_TERMS, Candidate, Voter
+from swiftwell.fleet.messages import Loan, ShareRequest
+from swiftwell.fleet.messages import Message as FleetMessage
+from swiftwell.fleet.shares import TOTAL_PPM, Lender, Share
 
 TERM = 100_000  # units of a lease's term: fine enough for clocks that are off by a hundredth
 SCALE = 10_000  # of clock rates
@@ -44,7 +45,7 @@
     to: int
     life: int
     epoch: int
-    word: Word
+    word: FleetMessage
     twice: bool = False
 
     @property
@@ -64,7 +65,7 @@
     rounds: int = 1  # that each candidate may begin
     jumps: int = 0  # of time, to the next moment or by a while
     acts: bool = True
-    bounded: bool = True  # clocks keep to RATE: else only tokens are judged
+    bounded: bool = True  # clocks keep to MAX_CLOCK_DRIFT: else only tokens are judged
 
 
 @dataclass(slots=True)
@@ -78,7 +79,7 @@
     guards: dict[int, Guard]
     lives: dict[int, int]
     mail: list[Message] = field(default_factory=list)
-    acting: dict[int, tuple[Act, bool]] = field(default_factory=dict)  # whether it stands still
+    acting: dict[int, tuple[Permit, bool]] = field(default_factory=dict)  # whether it stands still
     highest: int = 0  # token that the resource has seen
     breach: str = ""
     restarts: int = 0
@@ -127,8 +128,8 @@
 
     def _candidate(self, state: LeaseState, name: int) -> None:
         one = self.candidate("l", name, state.lives[name], self.groups_of(name), TERM, 0, 0)
-        one._chance = _Even()  # type: ignore[assignment]
-        one.want(self.clock(state, name))
+        one._random = _Even()  # type: ignore[assignment]
+        one.set_wanted(self.clock(state, name))
         state.candidates[name], state.guards[name] = one, self.guard(one)
 
     def copy(self, state: LeaseState) -> LeaseState:
@@ -151,18 +152,18 @@
         return (
             state.now,
             tuple(
-                (n, state.epochs[n], v.life, max(0, v.silent_until - self.clock(state, n)),
-                 tuple((k.promised, k.by, k.granted, k.holder, k.holder_life, k.until)
-                       for k in v.known.values()))
+                (n, state.epochs[n], v.incarnation, max(0, v.silent_until - self.clock(state, n)),
+                 tuple((k.promised, k.promised_to, k.granted, k.holder, k.holder_incarnation, k.expires_at)
+                       for k in v.records.values()))
                 for n, v in state.voters.items()
             ),
             tuple(
-                (n, c.life, c.until, c.token, c._above, c._next_at, c._lost_rounds, _round(c),
-                 state.guards[n]._told)
+                (n, c.incarnation, c.expires_at, c.token, c._last_counter, c._next_at, c._lost_rounds,
+                 _round(c), state.guards[n]._outdated_token)
                 for n, c in state.candidates.items()
             ),
             tuple(sorted(hash(m.key) for m in state.mail)),
-            tuple(sorted((n, a.token, a.until, s) for n, (a, s) in state.acting.items())),
+            tuple(sorted((n, a.token, a.deadline, s) for n, (a, s) in state.acting.items())),
             state.highest, state.restarts, state.doubles, state.delays, state.stands, state.jumps,
         )  # fmt: skip
 
@@ -233,17 +234,17 @@
         if to in state.voters:
             if state.epochs[to] != message.epoch:
                 return
-            out = state.voters[to].take(self.clock(state, to), message.sender, message.life, word)
+            out = state.voters[to].handle(self.clock(state, to), message.sender, message.life, word)
             self._post(state, to, out)
-        elif state.candidates[to].life == message.life:
-            self._post(state, to, state.candidates[to].take(self.clock(state, to), message.sender, word))
+        elif state.candidates[to].incarnation == message.life:
+            self._post(state, to, state.candidates[to].handle(self.clock(state, to), message.sender, word))
             self._judge(state)
 
-    def _post(self, state: LeaseState, sender: int, sends: list[tuple[int, Word]]) -> None:
+    def _post(self, state: LeaseState, sender: int, sends: list[tuple[int, FleetMessage]]) -> None:
         epoch = state.epochs[sender] if sender in state.voters else self.epoch_of(sender)
         for to, word in sends:
             # An answer is for the life that asked.
-            life = state.lives[sender] if to in state.voters else state.candidates[to].life
+            life = state.lives[sender] if to in state.voters else state.candidates[to].incarnation
             state.mail.append(Message(state.now, sender, to, life, epoch, word))
 
     def _acts(self, state: LeaseState) -> Iterator[tuple[str, LeaseState]]:
@@ -280,25 +281,25 @@
             return
         moments = []
         for number, voter in state.voters.items():
-            ends = [voter.silent_until, *(one.until for one in voter.known.values())]
+            ends = [voter.silent_until, *(one.expires_at for one in voter.records.values())]
             moments += [self._true(number, end) for end in ends]
         for name, one in state.candidates.items():
-            ends = [one.until, one._next_at]
+            ends = [one.expires_at, one._next_at]
             if one._round:
-                ends.append(one._round.began + int(ROUND_PART * TERM))
+                ends.append(one._round.began_at + int(ROUND_TIMEOUT_TERMS * TERM))
             moments += [self._true(name, end) for end in ends]
         later = [at for at in moments if at > state.now]
         for at in sorted({min(later, default=state.now + WHILE), state.now + WHILE}):
             new = self.copy(state)
             new.now, new.jumps = at, state.jumps + 1
             if any(
-                not stands and self.clock(new, n) > act.until for n, (act, stands) in state.acting.items()
+                not stands and self.clock(new, n) > act.deadline for n, (act, stands) in state.acting.items()
             ):
                 continue
             for name, one in new.candidates.items():  # a round that is over is seen to be so
                 mine = self.clock(new, name)
-                if one._round and mine - one._round.began >= ROUND_PART * TERM:
-                    one._give_up(mine)
+                if one._round and mine - one._round.began_at >= ROUND_TIMEOUT_TERMS * TERM:
+                    one._fail_round(mine)
             self._tidy(new)
             self._judge(new)
             yield f"until {new.now}", new
@@ -323,7 +324,7 @@
 
 def _voter(voter: Voter) -> Voter:
     new = _same(voter)
-    new.known = {name: copy.copy(one) for name, one in voter.known.items()}
+    new.records = {name: copy.copy(one) for name, one in voter.records.items()}
     return new
 
 
@@ -342,7 +343,7 @@
         return None
     promised = tuple(sorted(told.promised.items()))
     return (
-        told.ballot, told.began, promised, tuple(sorted(told.granted)), tuple(sorted(told.refused)),
+        told.ballot, told.began_at, promised, tuple(sorted(told.granted)), tuple(sorted(told.refused)),
         told.proposing, told.wait_us,
     )  # fmt: skip
 
@@ -387,7 +388,9 @@
     lender: Lender
     until: int  # of the lender's lease
     shares: dict[int, Share]
-    mail: list[tuple[int, Want | Loan]] = field(default_factory=list)  # borrower, and what is on its way
+    mail: list[tuple[int, ShareRequest | Loan]] = field(
+        default_factory=list
+    )  # borrower, and what is on its way
     heirs: int = 0
     jumps: int = 0
     breach: str = ""
@@ -412,16 +415,21 @@
     def copy(self, state: ShareState) -> ShareState:
         new = copy.copy(state)
         new.lender = copy.copy(state.lender)
-        new.lender.out = {who: copy.copy(one) for who, one in state.lender.out.items()}
+        new.lender.outstanding = {who: copy.copy(one) for who, one in state.lender.outstanding.items()}
         new.lender.counts = dict(state.lender.counts)
         new.shares = {name: copy.copy(one) for name, one in state.shares.items()}
         new.mail = list(state.mail)
         return new
 
     def key(self, state: ShareState) -> tuple[Any, ...]:
-        out = tuple(sorted((w, o.parts, o.until, o.number, o.last) for w, o in state.lender.out.items()))
+        out = tuple(
+            sorted(
+                (w, o.max_ppm, o.expires_at, o.last_number, o.last_ppm)
+                for w, o in state.lender.outstanding.items()
+            )
+        )
         shares = tuple(
-            (n, s._parts, s._until, s._held, s._number, s._asked_at, s._next_at)
+            (n, s._loan_ppm, s._loan_expires_at, s._current_loan, s._number, s._requested_at, s._next_at)
             for n, s in state.shares.items()
         )
         return (
@@ -449,25 +457,28 @@
             yield f"{type(word).__name__} of {name} arrives", new
         yield from self._time(state)
 
-    def _deliver(self, state: ShareState, name: int, word: Want | Loan) -> None:
-        if isinstance(word, Want):
-            loan = state.lender.take(self.clock(state.now, 0), name, word, state.until)
+    def _deliver(self, state: ShareState, name: int, word: ShareRequest | Loan) -> None:
+        if isinstance(word, ShareRequest):
+            loan = state.lender.handle(self.clock(state.now, 0), name, word, state.until)
             if loan:
                 state.mail.append((name, loan))
         else:
-            state.shares[name].take(self.clock(state.now, name), word)
+            state.shares[name].handle(self.clock(state.now, name), word)
             self._judge(state)
 
     def _judge(self, state: ShareState) -> None:
-        used = sum(one.parts(self.clock(state.now, name)) for name, one in state.shares.items())
-        if used > MILLION:
-            state.breach = f"{used} of {MILLION} parts in use at {state.now}"
+        used = sum(one.ppm(self.clock(state.now, name)) for name, one in state.shares.items())
+        if used > TOTAL_PPM:
+            state.breach = f"{used} of {TOTAL_PPM} parts in use at {state.now}"
 
     def _time(self, state: ShareState) -> Iterator[tuple[str, ShareState]]:
         rate = lambda who: self.scope.rates[who] if who < len(self.scope.rates) else SCALE  # noqa: E731
-        moments = [state.until, *(-(-one.until * SCALE // rate(0)) for one in state.lender.out.values())]
+        moments = [
+            state.until,
+            *(-(-one.expires_at * SCALE // rate(0)) for one in state.lender.outstanding.values()),
+        ]
         for name, share in state.shares.items():
-            moments += [-(-at * SCALE // rate(name)) for at in (share._until, share._next_at)]
+            moments += [-(-at * SCALE // rate(name)) for at in (share._loan_expires_at, share._next_at)]
         later = [at for at in moments if at > state.now]
         if not later or state.jumps >= self.scope.jumps:
             return
@@ -533,4 +544,4 @@
     return out[::-1]
 
 
-SLOW, FAST = round(SCALE * (1 - RATE)), round(SCALE * (1 + RATE))
+SLOW, FAST = round(SCALE * (1 - MAX_CLOCK_DRIFT)), round(SCALE * (1 + MAX_CLOCK_DRIFT))
--- a/swiftwell/proof/runner.py
+++ b/swiftwell/proof/runner.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from swiftwell.discovery import saved
-from swiftwell.fleet.lease import RATE
-from swiftwell.fleet.link import RATE_SWITCH
+from swiftwell.fleet.lease import MAX_CLOCK_DRIFT
+from swiftwell.fleet.link import CLOCK_RATE_VARIABLE
 from swiftwell.handover.new import STEPS
 from swiftwell.proof import days
 from swiftwell.proof.account import account
@@ -273,7 +273,7 @@
 
     def _bounded(self) -> bool:
         """Whether clocks keep to what leases trust."""
-        return all(abs(one.rate - 1) <= RATE for one in self.day.troubles if one.do == "clock")
+        return all(abs(one.rate - 1) <= MAX_CLOCK_DRIFT for one in self.day.troubles if one.do == "clock")
 
     async def _gateway(self, number: int) -> Program:
         state = self.folder / f"state-{number}"
@@ -443,7 +443,7 @@
                 await asyncio.sleep(one.for_s)
                 faults.loss = faults.twice = faults.delay_s = 0.0
             case "clock":
-                self._clocks |= {number: {RATE_SWITCH: str(one.rate)} for number in numbers}
+                self._clocks |= {number: {CLOCK_RATE_VARIABLE: str(one.rate)} for number in numbers}
                 for number in numbers:
                     await self._again(number, signal.SIGKILL, why="clock")
             case "epoch":  # one after the other, as an operator would
--- a/swiftwell/proof/together.py
+++ b/swiftwell/proof/together.py
@@ -5,7 +5,7 @@
 import socket
 from typing import Any
 
-from swiftwell.fleet.lease import choose
+from swiftwell.fleet.lease import choose_voters
 from swiftwell.proof.days import Day, Trouble
 from swiftwell.proof.holders import gaps, one_holder
 from swiftwell.proof.rules import Event
@@ -86,7 +86,9 @@
                 asked = [event["gw"] for event in events if event["ev"] == "list-asked"]
                 return [int(asked[-1].removeprefix("gw-"))] if asked else [one.gateway]
             case "voters":
-                voters = (self.names.index(name) for name in choose(self.names, LEASE, self.told.voters))
+                voters = (
+                    self.names.index(name) for name in choose_voters(self.names, LEASE, self.told.voters)
+                )
                 return [number for number in voters if number < self.size]
         count = max(1, round(one.gateways * self.size))
         return [(one.gateway + n) % self.size for n in range(count)]
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/watch.py
@@ -47,11 +47,11 @@
         seed: int,
     ) -> None:
         self._link, self._engine, self._clock, self._ask, self._log = link, engine, clock, ask, log
-        self.desk = Desk(link.node.told.me, zones, order, seed, link.now_us())
+        self.desk = Desk(link.node.settings.me, zones, order, seed, link.now_us())
         self._hidden: dict[str, frozenset[str]] = {}
         self._probed: set[str] = set()
-        link.node.users[NAME] = self._take
-        link.node.listeners.append(self.desk.heard)
+        link.node.message_handlers[NAME] = self._take
+        link.node.contact_listeners.append(self.desk.heard)
         engine.observer = self
 
     # The engine's observer.
@@ -96,7 +96,7 @@
             if not known.left_us and known.entry.state is State.READY:
                 workers.setdefault(known.entry.zone, []).append(name)
         sites = self.desk.judge.sites
-        held = {site: node.board_lease(BOARD + site) for site in sites}
+        held = {site: node.log_lease(BOARD + site) for site in sites}
         out = self.desk.step(
             now,
             int(self._clock.wall_ms()),
@@ -109,13 +109,13 @@
             return
         for site, wanted in out.wants.items():
             if held[site].wanted != wanted:
-                node.want(now, held[site].name, wanted)
+                node.set_lease_wanted(now, held[site].name, wanted)
         for site, word in out.words.items():
-            board = node.boards[BOARD + site]
+            board = node.replicated_logs[BOARD + site]
             board.write(now, int(self._clock.wall_ms()), {site: _encode(word)})
-            board.beats(now)
+            board.raise_heartbeat(now)
         for to, said in out.sends:
-            node.say(to, NAME, _encode(said))
+            node.send_message(to, NAME, _encode(said))
         if out.sends or out.words:
             self._link.wake()
         for change in out.changes:
@@ -130,13 +130,13 @@
             self._engine.hide(out.hidden)
 
     def _board(self, site: str, now: int) -> tuple[Word | None, int | None, int]:
-        board = self._link.node.boards[BOARD + site]
+        board = self._link.node.replicated_logs[BOARD + site]
         raw = board.entries().get(site)
         try:
             word = _word(raw) if raw else None
         except msgspec.DecodeError:
             word = None
-        return word, board.silent_us(now), board.writer
+        return word, board.heartbeat_age_us(now), board.writer
 
     def _take(self, now: int, sender: int, body: bytes) -> None:
         try:
@@ -144,7 +144,7 @@
         except (msgspec.DecodeError, ValueError):
             return
         for to, said in self.desk.take(now, sender, word):
-            self._link.node.say(to, NAME, _encode(said))
+            self._link.node.send_message(to, NAME, _encode(said))
 
     def _tell(self, change: Change) -> None:
         level = "info" if change.now.value == "up" else "warning"
@@ -162,8 +162,8 @@
             self._tell(change)
         said = _encode(Words(Say.ORDER, site, what=what, who=who[:MOST_WHO]))
         for member in node.members.alive():
-            if member != node.told.me:
-                node.say(member, NAME, said)
+            if member != node.settings.me:
+                node.send_message(member, NAME, said)
         self._link.wake()
         return ""
 
--- a/swiftwell/starting/orders.py
+++ b/swiftwell/starting/orders.py
@@ -24,10 +24,10 @@
         self, link: FleetLink, send: Callable[[ports.Order], None], put: Callable[[ports.Input], None]
     ) -> None:
         self._link, self._send, self._put = link, send, put
-        told = link.node.told
+        told = link.node.settings
         self.copies = Copies(told.me, tuple(range(len(told.roster))), link.now_us())
         self._held: dict[int, ports.Order] = {}
-        link.node.users[NAME] = self._take
+        link.node.message_handlers[NAME] = self._take
 
     def order(self, act: ports.Order, known: int) -> None:
         """An order of the module's; questions (no copies wanted) go out as they are."""
@@ -68,7 +68,7 @@
     def _carry(self, out: Out) -> None:
         sends, acts = out
         for to, word in sends:
-            self._link.node.say(to, NAME, _encode(word))
+            self._link.node.send_message(to, NAME, _encode(word))
         if sends:
             self._link.wake()
         for act in acts:
--- a/swiftwell/starting/part.py
+++ b/swiftwell/starting/part.py
@@ -9,7 +9,7 @@
 
 import math
 
-from swiftwell.fleet.shares import MILLION
+from swiftwell.fleet.shares import TOTAL_PPM
 
 RISE_US = 2_000_000  # us in which a part may double: a cold worker's budget is usually counted over as long
 
@@ -32,4 +32,4 @@
 
 def routers(parts: float) -> int:
     """A part as a number of routers."""
-    return max(1, math.ceil(MILLION / max(1.0, parts)))
+    return max(1, math.ceil(TOTAL_PPM / max(1.0, parts)))
--- a/swiftwell/starting/plan.py
+++ b/swiftwell/starting/plan.py
@@ -10,9 +10,9 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from swiftwell.fleet.board import FAN
-from swiftwell.fleet.lease import choose
-from swiftwell.fleet.shares import MILLION, STANDING
+from swiftwell.fleet.lease import choose_voters
+from swiftwell.fleet.replicated_log import FANOUT
+from swiftwell.fleet.shares import RESERVED_PPM, TOTAL_PPM
 from swiftwell.settings.site import Site
 from swiftwell.starting.copies import ASKED_US, TRIES
 from swiftwell.starting.lists import ALONE_US, LEARN_US, SILENT_PERIODS
@@ -58,7 +58,7 @@
         asks = gateways if workers.list else 0
         most, every, after = asks, asks, 0.0
     budget = bool(fleet and "cold" in fleet.budgets)
-    part = STANDING / gateways / MILLION if budget else 1 / gateways
+    part = RESERVED_PPM / gateways / TOTAL_PPM if budget else 1 / gateways
     period = fleet.period_ms / 1e3 if fleet else 0.0
     return Plan(
         gateways=gateways,
@@ -71,7 +71,7 @@
         reader_gone_s=round(SILENT_PERIODS * period + len(zones) / fleet.list_rate, 2)
         if fleet and reader
         else 0.0,
-        datagrams_a_second=round((4 + (FAN if reader else 0) + 1) / period, 1) if period else 0.0,
+        datagrams_a_second=round((4 + (FANOUT if reader else 0) + 1) / period, 1) if period else 0.0,
         connections_to_a_worker=gateways * workers.connections,
         cold_part=part,
         cold_sum=round(part * gateways, 3),
@@ -98,7 +98,7 @@
     ]
     if fleet:
         names = [one.name for one in fleet.member]
-        voters = ", ".join(choose(names, "share/cold", fleet.voters))
+        voters = ", ".join(choose_voters(names, "share/cold", fleet.voters))
         out.append(
             f"no lease for the first {told.silent_term_s:g} s; a reader that dies is followed within "
             f"{told.reader_gone_s:g} s; {told.datagrams_a_second:g} datagrams a second from each gateway"
--- a/swiftwell/starting/zone.py
+++ b/swiftwell/starting/zone.py
@@ -26,9 +26,9 @@
     """`board` names the board; `rate`: questions a second of all who share it, while nobody reads."""
 
     def __init__(self, node: FleetNode, board: str, rate: float, now: int) -> None:
-        self.node, self.board, self.lease = node, node.boards[board], node.board_lease(board)
-        group = tuple(sorted((*self.board.others, node.told.me)))
-        self.reading = Reading(node.told.me, group, board, rate, node.told.period_us, now)
+        self.node, self.board, self.lease = node, node.replicated_logs[board], node.log_lease(board)
+        group = tuple(sorted((*self.board.others, node.settings.me)))
+        self.reading = Reading(node.settings.me, group, board, rate, node.settings.period_us, now)
         self.rows: dict[str, bytes] = {}  # read by us, last
         self._beat_at = 0
 
@@ -38,24 +38,26 @@
         rows = None
         if board.changed:
             board.changed = False
-            rows = None if board.writing else board.entries()
-        fresh = not board.writing and board.beat_at > self._beat_at
+            rows = None if board.is_writer else board.entries()
+        fresh = not board.is_writer and board.heartbeat_at > self._beat_at
         if fresh:
-            self._beat_at = board.beat_at
+            self._beat_at = board.heartbeat_at
         if self.lease.wanted != reading.reader:
-            self.node.want(now, self.lease.name, reading.reader)
+            self.node.set_lease_wanted(now, self.lease.name, reading.reader)
         was, holds = reading.reader, self.lease.holds(now)
-        beat_at = board.beat_at if board.edition else None
+        beat_at = board.heartbeat_at if board.generation else None
         members = self.node.members
-        living = None if members.health else frozenset(members.alive())
-        seen = Seen(board.edition, not board.writing, beat_at, board.coming_at, board.heard_at, living)
+        living = None if members.local_health else frozenset(members.alive())
+        seen = Seen(
+            board.generation, not board.is_writer, beat_at, board.newer_seen_at, board.received_at, living
+        )
         ask = reading.look(now, holds, seen)
         gave_way = was and not reading.reader
         if running and not gave_way and reading.reader:
-            if not board.writing:
+            if not board.is_writer:
                 self.write(now, wall_ms)  # another edition came between: ours goes above it
-            elif now - board.beat_at >= board.period_us:
-                board.beats(now)
+            elif now - board.heartbeat_at >= board.period_us:
+                board.raise_heartbeat(now)
         return What(rows, fresh, Ask.NOT if running else ask, gave_way, gave_way)
 
     def told(self, now: int, wall_ms: int, rows: dict[str, bytes]) -> None:
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -9,8 +9,8 @@
 from socketbench import SITE
 
 from swiftwell.cli.main import main
-from swiftwell.fleet import words
-from swiftwell.fleet.board import MOST_ENTRY, MOST_GONE, Board
+from swiftwell.fleet import messages
+from swiftwell.fleet.replicated_log import MAX_DELETED_ENTRIES, MAX_ENTRY_BYTES, ReplicatedLog
 from swiftwell.lab.zone import Zone
 from swiftwell.starting.copies import ASKED_US, MOST_FUNCTIONS, TRIES, Copies, Do, ranked
 from swiftwell.starting.lists import Ask, Reading, Seen, places
@@ -29,7 +29,7 @@
     zone.go(5)
     assert len(zone.readers()) == 1 and len(zone.asked) <= 8
     reader = zone.readers()[0]
-    assert zone.nodes[reader].board_lease("list").holds(zone.now)
+    assert zone.nodes[reader].log_lease("list").holds(zone.now)
     # A change is with everyone soon after the reader has it; loss delays it by what is asked for again.
     zone.rows = dict(list(zone.rows.items())[3:]) | {"127.0.0.1:9": b"new"}
     zone.go(2 + 20 * loss)  # a step of this town takes fifty times a real one
@@ -146,7 +146,7 @@
 
 
 def boards(count, seed=0):
-    return [Board("b", me, tuple(range(count)), 0, 500_000, seed) for me in range(count)]
+    return [ReplicatedLog("b", me, tuple(range(count)), 0, 500_000, seed) for me in range(count)]
 
 
 def mix(group, seconds, chance, loss=0.3, now=0, each=lambda now: None):
@@ -164,7 +164,7 @@
                 if chance.random() < loss:
                     continue
                 for _ in range(2 if chance.random() < 0.2 else 1):
-                    mail += [(to, back, said) for back, said in group[to].take(at, sender, word)]
+                    mail += [(to, back, said) for back, said in group[to].handle(at, sender, word)]
     return now + int(seconds * SECOND)
 
 
@@ -182,24 +182,24 @@
             (writer if chance.random() < 0.9 else group[chance.randrange(7)]).write(now, now // 1_000, rows)
 
     now = mix(group, 10, chance, each=change)
-    mix(group, 12, chance, now=now, each=lambda at: writer.writing or writer.write(at, at // 1_000, rows))
+    mix(group, 12, chance, now=now, each=lambda at: writer.is_writer or writer.write(at, at // 1_000, rows))
     assert all(one.entries() == rows for one in group)
-    assert len({one.edition for one in group}) == 1
-    assert max(one.sizes()["entries"] for one in group) <= 2 * len(rows) + MOST_GONE + 2
+    assert len({one.generation for one in group}) == 1
+    assert max(one.sizes()["entries"] for one in group) <= 2 * len(rows) + MAX_DELETED_ENTRIES + 2
 
 
 def test_what_a_board_may_hold_is_bounded_and_what_is_no_part_of_it_is_dropped():
     one, other = boards(2)
     with pytest.raises(ValueError, match="too long"):
-        one.write(0, 1, {"n": b"x" * MOST_ENTRY})
+        one.write(0, 1, {"n": b"x" * MAX_ENTRY_BYTES})
     one.write(0, 1, {"n": b"x"})
-    assert other.take(0, 5, words.Notice("b", 9, 9, 9)) == [] and other.counts["stranger"] == 1
-    assert other.take(0, 0, words.Notice("b", 1 << 63, 9, 9)) == [] and other.counts["stranger"] == 2
-    other.take(0, 0, words.Part("b", 7, 5, 3, 9, True, []))
+    assert other.handle(0, 5, messages.LogSummary("b", 9, 9, 9)) == [] and other.counts["stranger"] == 1
+    assert other.handle(0, 0, messages.LogSummary("b", 1 << 63, 9, 9)) == [] and other.counts["stranger"] == 2
+    other.handle(0, 0, messages.LogChunk("b", 7, 5, 3, 9, True, []))
     assert other.counts["bad-part"] == 1 and not other.entries()
     one.write(0, 1, {})  # an empty list is a list, too
     mix([one, other], 2, random.Random(1), loss=0.0)
-    assert other.edition == one.edition and other.changed and other.entries() == {}
+    assert other.generation == one.generation and other.changed and other.entries() == {}
 
 
 # --- parts of a budget ----------------------------------------------------------------------------------
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -23,7 +23,7 @@
 from swiftwell.cli import sites as site_plans
 from swiftwell.cli.main import main as command
 from swiftwell.discovery import entries, saved
-from swiftwell.fleet import words as fleet_messages
+from swiftwell.fleet import messages as fleet_messages
 from swiftwell.fronts.mqtt import codec, contract
 from swiftwell.fronts.trigger import Answer, Kind
 from swiftwell.gateway import effects, journal
