--- a/swiftwell/fleet/lease.py
+++ b/swiftwell/fleet/lease.py
@@ -207,8 +207,7 @@
             return []
         self.wanted = wanted
         if wanted:
-            # Candidates that start together would collide: each waits for a random part of the first
-            # Back-off.
+            # Candidates that start together would collide: each waits a random part of the first back-off.
             self._next_at = now + int(self._random.random() * BACKOFF_TERMS * self.term_us / 4)
             return []
         outgoing: list[Outgoing] = []
@@ -259,9 +258,8 @@
     def _begin_round(self, now: int) -> list[Outgoing]:
         self._last_counter += 1
         ballot = (self._last_counter << MEMBER_BITS) | self.me
-        if (
-            ballot >= MAX_BALLOT
-        ):  # the numbers are used up: start over, refusals tell the highest ballot in use
+        # Another sender used the numbers up: start over, as refusals tell the highest ballot of a voter.
+        if ballot >= MAX_BALLOT:
             self._last_counter = 1
             return []
         self._round = _Round(ballot, now, now)
--- a/swiftwell/fleet/members.py
+++ b/swiftwell/fleet/members.py
@@ -1,9 +1,10 @@
 """Failure detection: which members of the configured roster are alive.  No I/O.
 
 After Das and others, "SWIM" (probes in round-robin order, indirect probes through other members, suspicion
-that can be refuted, updates piggybacked on other messages), and Dadgar and others, "Lifeguard" (a member that
-is slow itself first lengthens its own time limits).  The traffic of a router for this is bounded whatever the
-size of the fleet: one ping and one ack a period, and INDIRECT_PINGS more if an ack is missing.
+that can be refuted, updates piggybacked on other messages), and Dadgar and others, "Lifeguard" (a member
+first assumes that it is slow itself, and lengthens its own time limits).  The traffic of a router for this is
+bounded whatever the size of the fleet: one ping and one ack a period, and INDIRECT_PINGS more if an ack is
+missing.
 
 The incarnation of a member grows with each start and so distinguishes its runs; within an incarnation, its
 suspicion version grows with each refutation.  This view decides whom to contact and what to expect, never who
@@ -22,18 +23,17 @@
 from swiftwell.fleet.messages import Ack, IndirectPing, MembershipUpdate, Message, Ping
 
 PERIOD_US = 1_000_000  # us between two probes of a router: costs it some bytes a second
-# Fraction of a period after which a missing ack triggers indirect pings: a datagram on a LAN takes a
-# Hundredth.
+# Fraction of a period after which a missing ack causes indirect pings: a LAN's datagram takes a hundredth.
 ACK_TIMEOUT_PERIODS = 0.35
 # Fraction of a period after which an unanswered ping is sent again, twice before the indirect pings: at 30 %
-# Datagram loss one ping in two gets no ack, and suspicions arose faster than updates could refute them.
+# datagram loss one ping in two gets no ack, and suspicions arose faster than updates could refute them.
 PING_RETRY_PERIODS = 0.12
 INDIRECT_PINGS = 3  # members asked to ping one that did not answer: covers one-way cuts and own packet loss
 SUSPICION_PERIODS = 3.0  # periods, times log10 of the roster's size, until a suspected member counts as dead
 UPDATE_TRANSMISSIONS = 3.0  # times log2 of the roster's size that an update is sent
 MAX_UPDATES_PER_DATAGRAM = 10  # with a ping they stay under the limit of 256 bytes
 # Datagrams to a member that has just started that are filled up with the status of other members: updates
-# Cover recent changes only, and it would learn of the rest at one member a period.
+# cover recent changes only, and it would learn of the rest at one member a period.
 NEWCOMER_DATAGRAMS = 20
 MAX_LOCAL_HEALTH = 8  # of the local health score: periods and time limits stretch up to nine times
 PAUSE_PERIODS = 2.0  # periods without a step after which this process is assumed to have been paused
@@ -100,7 +100,7 @@
         self._last_step_at = now
         self._relays: dict[int, tuple[int, int]] = {}  # number of our ping: requester, and its number there
         # Members to send updates of, by the number of transmissions left, the most last.  Sorting all updates
-        # For each datagram took a third of the fleet's CPU time of a router with 200 members.
+        # for each datagram took a third of the fleet's CPU time of a router with 200 members.
         self._pending_updates: list[dict[int, None]] = [
             {} for _ in range(math.ceil(self._max_transmissions) + 1)
         ]
--- a/swiftwell/fleet/node.py
+++ b/swiftwell/fleet/node.py
@@ -37,9 +37,7 @@
     leases: tuple[str, ...] = ()
     budgets: tuple[str, ...] = ()
     previous_roster: tuple[str, ...] = ()
-    replicated_logs: tuple[
-        tuple[str, tuple[int, ...]], ...
-    ] = ()  # name, and indexes of the members that share it
+    replicated_logs: tuple[tuple[str, tuple[int, ...]], ...] = ()  # names, and indexes of who shares each
     key: bytes = b""
 
 
@@ -73,13 +71,10 @@
         self.counts: Counter[str] = Counter()
         self.known_holders: dict[str, int] = {}  # lease of a budget: its lender, by the last message or hint
         self.contact_listeners: list[Callable[[int], None]] = []  # called with the sender of each datagram
-        self.message_handlers: dict[
-            str, Callable[[int, int, bytes], None]
-        ] = {}  # name: takes now, sender, body
+        # Handlers of user messages by name; they take the time, the sender and the body.
+        self.message_handlers: dict[str, Callable[[int, int, bytes], None]] = {}
         self._now = now
-        self._rate_limits: dict[
-            int, list[float]
-        ] = {}  # member: token bucket, as tokens and time of the last fill
+        self._rate_limits: dict[int, list[float]] = {}  # member: tokens left, and time of the last refill
         self._outgoing: dict[int, list[Message]] = {}
         for budget in settings.budgets:  # only its voters lend: without a majority of them nobody could
             lease = self.leases[f"share/{budget}"]
@@ -89,9 +84,7 @@
         settings = self.settings
         indexes = {member: number for number, member in enumerate(settings.roster)}
         groups = [choose_voters(settings.roster, name, settings.voters)]
-        if (
-            settings.previous_roster
-        ):  # needs both majorities during the change: neither roster ever grants alone
+        if settings.previous_roster:  # both majorities during the change: neither roster ever grants alone
             groups.append(choose_voters(settings.previous_roster, name, settings.voters))
         numbers = tuple(
             tuple(indexes.get(voter, -1 - position) for position, voter in enumerate(group))
@@ -172,7 +165,7 @@
         if datagram.incarnation < self.members.table[sender].incarnation:
             # Either a late datagram of a run that has ended: its messages are void.  Or the sender's wall
             # clock was set back: then it has to learn of its earlier incarnation, to begin one above it, as
-            # Otherwise every member would ignore it for good.
+            # otherwise every member would ignore it for good.
             self.counts["earlier-life"] += 1
             known = self.members.table[sender]
             self._send(
--- a/swiftwell/fleet/shares.py
+++ b/swiftwell/fleet/shares.py
@@ -55,9 +55,7 @@
         if message.budget != self.budget or duration_us <= 0 or len(self.outstanding) >= MAX_BORROWERS:
             return None
         borrower = self.outstanding.get(sender)
-        if (
-            borrower and message.current_loan == borrower.last_number
-        ):  # it uses the last loan: the older ones ended
+        if borrower and message.current_loan == borrower.last_number:  # older loans are no longer in use
             borrower.max_ppm = borrower.last_ppm
         others_ppm = sum(other.max_ppm for member, other in self.outstanding.items() if member != sender)
         borrowers = len(self.outstanding) + (borrower is None)
@@ -65,9 +63,7 @@
         ppm = max(0, min(fair_ppm, TOTAL_PPM - RESERVED_PPM - others_ppm))
         if not ppm:
             self.counts["nothing"] += 1
-            if (
-                borrower is None
-            ):  # it counts as a borrower from now on, so that the next loans of others shrink
+            if borrower is None:  # it counts as a borrower from now on: the next loans of others are smaller
                 self.outstanding[sender] = _Outstanding(0, now + duration_us, message.number, 0)
             return None
         self.counts["lent"] += 1
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,5 +1,8 @@
-"""Several gateways of one fleet as processes of their own, with faults between them: killed, stopped and
-woken between check and act, cut off from each other, lied to by their clocks; calls flow meanwhile."""
+"""Gateways of one fleet as separate processes, under faults, while calls are served.
+
+Processes are killed, stopped and resumed between the check of a lease and the action, partitioned from each
+other, and given a wrong clock rate.
+"""
 
 import asyncio
 import json
@@ -22,18 +25,18 @@
 SIZE = 5
 
 
-async def quick(number, head, reader, writer):
+async def answer_at_once(number, head, reader, writer):
     writer.write(http(b"%d" % number))
 
 
 class Fleet:
-    """The processes, the relay between them and the resource that a drill acts at."""
+    """The processes, the relay between them, and the resource that the lease exercise acts on."""
 
     def __init__(self, folder, worker, checks=True, budgets=True):
         self.folder, self.worker, self.resource = folder, worker, Resource(checks)
         self.ports = free_ports(SIZE)
         self.relay = Relay(self.ports, 1)
-        self.processes, self.told = [None] * SIZE, [None] * SIZE
+        self.processes, self.ready_reports = [None] * SIZE, [None] * SIZE
         self.budgets = 'budgets "cold";' if budgets else ""
 
     async def open(self):
@@ -46,7 +49,7 @@
             f'member "gw-{n}" at="127.0.0.1:{self.relay.ports[n] if n != me else self.ports[me]}"'
             for n in range(SIZE)
         )
-        fleet = f"""
+        fleet_block = f"""
             health port=0
             log format="json"
             fleet term-ms={TERM_MS} period-ms=200 {{
@@ -55,7 +58,7 @@
             }}"""
         text = SITE.format(
             state=self.folder / f"state-{me}", workers=f'worker "{self.worker}" kind="k"',
-            orders="orders false;", more="", listener="", extra=fleet,
+            orders="orders false;", more="", listener="", extra=fleet_block,
         )  # fmt: skip
         site = self.folder / f"gw-{me}.kdl"
         site.write_text(text.replace('name "gw"', f'name "gw-{me}"\ngateways {SIZE}\nposition {me}'))
@@ -65,7 +68,7 @@
                 stdout=asyncio.subprocess.PIPE, stderr=err, env=os.environ | env,
             )  # fmt: skip
         self.processes[me] = process
-        self.told[me] = json.loads(await process.stdout.readline())
+        self.ready_reports[me] = json.loads(await process.stdout.readline())
 
     async def kill(self, me):
         self.processes[me].send_signal(signal.SIGKILL)
@@ -75,23 +78,25 @@
         self.processes[me].send_signal(number)
 
     def status(self, me):
-        with urllib.request.urlopen(f"http://127.0.0.1:{self.told[me]['health']}/fleet", timeout=3) as answer:
+        with urllib.request.urlopen(
+            f"http://127.0.0.1:{self.ready_reports[me]['health']}/fleet", timeout=3
+        ) as answer:
             return json.load(answer)
 
-    async def acts(self, count, other_than="", within=25.0):
-        """Wait until so many more acts have ended; the holder of the last."""
-        acts, start, until = self.resource.acts, len(self.resource.acts), time.monotonic() + within
-        while time.monotonic() < until:
-            mine = [act for act in acts[start:] if act.ended and act.who != other_than]
-            if len(mine) >= count:
-                return mine[-1].who
+    async def acts(self, count, other_than="", timeout_s=25.0):
+        """Wait until `count` more actions have ended; return the holder of the last."""
+        acts, start, deadline = self.resource.acts, len(self.resource.acts), time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
+            ended = [act for act in acts[start:] if act.ended and act.who != other_than]
+            if len(ended) >= count:
+                return ended[-1].who
             await asyncio.sleep(0.01)
-        raise AssertionError(f"no holder: {len(acts) - start} acts, the last {acts[-1:]}")
+        raise AssertionError(f"no holder: {len(acts) - start} actions, the last one {acts[-1:]}")
 
-    async def seen(self, what, within=25.0):
-        until = time.monotonic() + within
-        while not await asyncio.to_thread(what):
-            assert time.monotonic() < until, "not seen in time"
+    async def wait_for(self, condition, timeout_s=25.0):
+        deadline = time.monotonic() + timeout_s
+        while not await asyncio.to_thread(condition):
+            assert time.monotonic() < deadline, "condition not met in time"
             await asyncio.sleep(0.05)
 
     async def close(self):
@@ -107,19 +112,19 @@
 
 
 @asynccontextmanager
-async def fleet(folder, **more):
-    async with raw_worker(quick) as worker:
-        one = Fleet(folder, worker, **more)
+async def running_fleet(folder, **options):
+    async with raw_worker(answer_at_once) as worker:
+        fleet = Fleet(folder, worker, **options)
         try:
-            await one.open()
-            yield one
+            await fleet.open()
+            yield fleet
         finally:
-            await one.close()
+            await fleet.close()
 
 
-def run(main, within=75):
+def run(main, timeout_s=75):
     async def bounded():
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             await main
 
     asyncio.run(bounded())
@@ -129,41 +134,44 @@
     return int(who.removeprefix("gw-"))
 
 
-def test_a_holder_killed_stopped_or_cut_off_is_followed_by_one_other(tmp_path):
+def test_a_holder_that_is_killed_stopped_or_cut_off_is_replaced_by_one_other(tmp_path):
     async def main():
-        async with fleet(tmp_path) as town:
-            consoles = [await Console(f"c{n}").connect(told["listener"]) for n, told in enumerate(town.told)]
-            first = await town.acts(3)
-            await town.kill(number(first))
-            second = await town.acts(3, first)
+        async with running_fleet(tmp_path) as fleet:
+            consoles = [
+                await Console(f"c{n}").connect(report["listener"])
+                for n, report in enumerate(fleet.ready_reports)
+            ]
+            first = await fleet.acts(3)
+            await fleet.kill(number(first))
+            second = await fleet.acts(3, first)
             assert second != first
-            await town.start(number(first))  # else two of three voters might be away
-            await asyncio.sleep(1.2 * TERM_MS / 1e3)  # its silence
-            # Stopped past its term, between check and act or wherever it is, and woken.
-            town.signal(number(second), signal.SIGSTOP)
-            third = await town.acts(3, second)
-            town.signal(number(second), signal.SIGCONT)
-            await town.acts(5)
-            # The holder hears nobody and is heard by nobody, but reaches the resource.
-            holder = town.resource.acts[-1].who
+            await fleet.start(number(first))  # otherwise two of three voters might be down
+            await asyncio.sleep(1.2 * TERM_MS / 1e3)  # its silence as a voter
+            # Stopped for longer than its term, between check and action or at any other point, then resumed.
+            fleet.signal(number(second), signal.SIGSTOP)
+            third = await fleet.acts(3, second)
+            fleet.signal(number(second), signal.SIGCONT)
+            await fleet.acts(5)
+            # The holder is cut off from all members in both directions, but reaches the resource.
+            holder = fleet.resource.acts[-1].who
             me = number(holder)
             others = set(range(SIZE)) - {me}
-            town.relay.faults.split({me}, others)
-            await town.acts(3, holder)
-            town.relay.faults.cut.clear()
-            # One-way: what it says is not heard.
-            holder = await town.acts(2)
-            town.relay.faults.cut |= {(number(holder), other) for other in range(SIZE)}
-            await town.acts(3, holder)
-            town.relay.faults.cut.clear()
-            # Losses, doubles, delays of more than a term.
-            town.relay.faults.loss, town.relay.faults.twice = 0.3, 0.3
-            town.relay.faults.delay_s = 1.2 * TERM_MS / 1e3
+            fleet.relay.faults.split({me}, others)
+            await fleet.acts(3, holder)
+            fleet.relay.faults.cut.clear()
+            # One-way: nothing that it sends arrives.
+            holder = await fleet.acts(2)
+            fleet.relay.faults.cut |= {(number(holder), other) for other in range(SIZE)}
+            await fleet.acts(3, holder)
+            fleet.relay.faults.cut.clear()
+            # Datagrams lost, duplicated, and delayed by more than a term.
+            fleet.relay.faults.loss, fleet.relay.faults.twice = 0.3, 0.3
+            fleet.relay.faults.delay_s = 1.2 * TERM_MS / 1e3
             await asyncio.sleep(3 * TERM_MS / 1e3)
-            town.relay.faults.loss = town.relay.faults.twice = town.relay.faults.delay_s = 0.0
-            await town.acts(3)
-            assert one_holder(town.resource.acts) == (0, 0) and third
-            for n in set(range(SIZE)) - {number(first)}:  # its console went with the first life
+            fleet.relay.faults.loss = fleet.relay.faults.twice = fleet.relay.faults.delay_s = 0.0
+            await fleet.acts(3)
+            assert one_holder(fleet.resource.acts) == (0, 0) and third
+            for n in set(range(SIZE)) - {number(first)}:  # its console was connected to the killed process
                 assert await consoles[n].call("consigna", f"k{n}") == ("served", "ok")
 
     run(main())
@@ -171,62 +179,65 @@
 
 def test_all_voters_restarted_within_a_term_and_a_fleet_that_cannot_agree(tmp_path):
     async def main():
-        async with fleet(tmp_path) as town:
-            holder = await town.acts(3)
-            voters = [number(name) for name in town.status(0)["leases"][0]["voters"]]
+        async with running_fleet(tmp_path) as fleet:
+            holder = await fleet.acts(3)
+            voters = [number(name) for name in fleet.status(0)["leases"][0]["voters"]]
             assert len(voters) == 3
-            await asyncio.gather(*(town.kill(voter) for voter in voters))
-            await asyncio.gather(*(town.start(voter) for voter in voters))
-            await town.acts(3)
-            # Everybody alone: nobody acts once the last lease is over, and every call is served all the same.
-            town.relay.faults.split(*({n} for n in range(SIZE)))
+            await asyncio.gather(*(fleet.kill(voter) for voter in voters))
+            await asyncio.gather(*(fleet.start(voter) for voter in voters))
+            await fleet.acts(3)
+            # Every member alone: none acts once the last lease has expired, and every call is still served.
+            fleet.relay.faults.split(*({n} for n in range(SIZE)))
             await asyncio.sleep(2 * TERM_MS / 1e3)
-            before = len(town.resource.acts)
+            before = len(fleet.resource.acts)
             await asyncio.sleep(2 * TERM_MS / 1e3)
-            assert len(town.resource.acts) == before
-            for told in town.told:
-                console = await Console(f"c{told['listener']}").connect(told["listener"])
-                assert await console.call("consigna", f"k{told['listener']}") == ("served", "ok")
-            own = [town.status(n)["shares"]["cold"] for n in range(SIZE)]
-            assert own == [500_000 // SIZE] * SIZE
-            town.relay.faults.cut.clear()
-            await town.acts(3)
-            await town.seen(lambda: sum(town.status(n)["shares"]["cold"] for n in range(SIZE)) > 900_000)
-            assert one_holder(town.resource.acts) == (0, 0) and holder
+            assert len(fleet.resource.acts) == before
+            for report in fleet.ready_reports:
+                console = await Console(f"c{report['listener']}").connect(report["listener"])
+                assert await console.call("consigna", f"k{report['listener']}") == ("served", "ok")
+            reserved_ppm = [fleet.status(n)["shares"]["cold"] for n in range(SIZE)]
+            assert reserved_ppm == [500_000 // SIZE] * SIZE
+            fleet.relay.faults.cut.clear()
+            await fleet.acts(3)
+            await fleet.wait_for(
+                lambda: sum(fleet.status(n)["shares"]["cold"] for n in range(SIZE)) > 900_000
+            )
+            assert one_holder(fleet.resource.acts) == (0, 0) and holder
 
     run(main())
 
 
 def test_a_clock_beyond_the_bound_is_stopped_by_the_token(tmp_path):
-    """One process's clock runs at a third: it thinks that it holds long after another does."""
+    """The clock of one process runs at a third of the true rate, so it counts a lease as its own too long."""
 
     async def main():
-        async with fleet(tmp_path, budgets=False) as town:
-            await town.acts(1)
-            chance = random.Random(3)
-            liar = chance.randrange(SIZE)
-            await town.kill(liar)
-            await town.start(liar, SWIFTWELL_FLEET_CLOCK_RATE="0.33")
-            # Until it holds, the others are stopped in turn; then it is cut off and acts on its own clock.
+        async with running_fleet(tmp_path, budgets=False) as fleet:
+            await fleet.acts(1)
+            generator = random.Random(3)
+            slow = generator.randrange(SIZE)
+            await fleet.kill(slow)
+            await fleet.start(slow, SWIFTWELL_FLEET_CLOCK_RATE="0.33")
+            # Other holders are stopped in turn until the process with the slow clock holds; then it is cut
+            # off, and goes on acting by its own clock.
             for _ in range(8):
-                if town.resource.acts[-1].who == f"gw-{liar}":
+                if fleet.resource.acts[-1].who == f"gw-{slow}":
                     break
-                holder = number(await town.acts(1))
-                if holder != liar:
-                    town.signal(holder, signal.SIGSTOP)
-                    await town.acts(1, f"gw-{holder}")
-                    town.signal(holder, signal.SIGCONT)
-            if town.resource.acts[-1].who == f"gw-{liar}":
-                town.relay.faults.split({liar}, set(range(SIZE)) - {liar})
-                await town.acts(3, f"gw-{liar}")
+                holder = number(await fleet.acts(1))
+                if holder != slow:
+                    fleet.signal(holder, signal.SIGSTOP)
+                    await fleet.acts(1, f"gw-{holder}")
+                    fleet.signal(holder, signal.SIGCONT)
+            if fleet.resource.acts[-1].who == f"gw-{slow}":
+                fleet.relay.faults.split({slow}, set(range(SIZE)) - {slow})
+                await fleet.acts(3, f"gw-{slow}")
                 await asyncio.sleep(TERM_MS / 1e3)
-            assert one_holder(town.resource.acts)[1] == 0
-            assert all(token < seen for _, token, seen in town.resource.turned_away)
+            assert one_holder(fleet.resource.acts)[1] == 0
+            assert all(token < seen for _, token, seen in fleet.resource.turned_away)
 
     run(main())
 
 
-def test_the_rule_finds_overlaps_and_older_tokens():
+def test_the_check_of_one_holder_finds_overlaps_and_older_tokens():
     good = [Act("a", 1, 0, 10), Act("b", 2, 10, 20), Act("a", 3, 30, 40)]
     assert one_holder(good) == (0, 0)
     assert one_holder([*good, Act("c", 4, 35, 50)]) == (1, 0)
