--- a/swiftwell/fleet/replicated_log.py
+++ b/swiftwell/fleet/replicated_log.py
@@ -73,7 +73,7 @@
     @property
     def generation(self) -> int:
         """The valid generation here; 0 if there is none."""
-        return self._current.generation
+        return self._current.number
 
     @property
     def last_index(self) -> int:
@@ -91,9 +91,7 @@
 
     def begin_generation(self, now: int, wall_ms: int) -> None:
         """Become the writer: begin a generation above every one seen, by the wall clock if that is higher."""
-        highest = max(
-            self.generation, self._latest_known[0], self._incoming.generation if self._incoming else 0
-        )
+        highest = max(self.generation, self._latest_known[0], self._incoming.number if self._incoming else 0)
         kept = self.entries()
         self._current, self._incoming = (
             _Generation(max(wall_ms, (highest >> 16) + 1) << 16 | self.me),
@@ -156,9 +154,8 @@
             self._latest_known > (self.generation, self.last_index)
             and now - self._fetched_at >= FETCH_TIMEOUT_US
         ):
-            outgoing += self._fetch(
-                now, self._fetch_from, self._latest_known[0]
-            )  # a reply or a chunk was lost
+            # The reply to the last fetch, or a chunk of it, was lost.
+            outgoing += self._fetch(now, self._fetch_from, self._latest_known[0])
         if now >= self._next_summary_at:
             starting = not self.generation
             self._next_summary_at = now + (STARTUP_INTERVAL_US if starting else self.period_us)
@@ -213,9 +210,9 @@
         self.counts["fetches"] += 1
         if generation == self.generation:
             return [(sender, LogFetch(self.name, generation, self.last_index))]
-        if self._incoming is None or self._incoming.generation < generation:
+        if self._incoming is None or self._incoming.number < generation:
             self._incoming = _Generation(generation)
-        return [(sender, LogFetch(self.name, self._incoming.generation, self._incoming.last_index))]
+        return [(sender, LogFetch(self.name, self._incoming.number, self._incoming.last_index))]
 
     def _chunks_for(self, message: LogFetch) -> list[LogChunk]:
         """The entries after the requested index, up to CHUNKS_PER_FETCH chunks."""
@@ -266,7 +263,7 @@
         self._latest_known = max(self._latest_known, (message.generation, message.last_index))
         if message.generation == self.generation and not self.is_writer:
             generation = self._current
-        elif self._incoming and message.generation == self._incoming.generation > self.generation:
+        elif self._incoming and message.generation == self._incoming.number > self.generation:
             generation = self._incoming
         else:
             return []
@@ -275,7 +272,7 @@
         complete = generation.last_index >= message.last_index
         if complete and generation is self._incoming:
             self._current, self._incoming = generation, None
-            self.writer = generation.generation & WRITER_MASK
+            self.writer = generation.number & WRITER_MASK
             self.heartbeat, self.heartbeat_at, self.changed = 0, now, True
         elif generation is self._current and generation.last_index > before:
             self.changed = True
@@ -292,8 +289,8 @@
 class _Generation:
     """A generation of the log, as far as it has arrived."""
 
-    def __init__(self, generation: int) -> None:
-        self.generation, self.last_index = generation, 0  # everything up to this index is here
+    def __init__(self, number: int) -> None:
+        self.number, self.last_index = number, 0  # everything up to this index is here
         self.log: dict[str, tuple[int, bytes]] = {}  # name: index and value, b"" if deleted; sorted by index
         self._out_of_order: dict[int, LogChunk] = {}  # chunks whose predecessors are late or lost
 
