--- a/swiftwell/fleet/lease.py
+++ b/swiftwell/fleet/lease.py
@@ -112,9 +112,9 @@
     def _propose(
         self, now: int, record: _LeaseRecord, sender: int, incarnation: int, message: Propose
     ) -> Message:
-        """Grant only for the newest promise, and only one of this incarnation.
+        """Grant only for the newest promise, and only if this incarnation of the voter made it.
 
-        Other ballots may have followed the promise of an earlier incarnation.
+        After a promise of an earlier incarnation, newer ballots may have been promised and forgotten.
         """
         if (held_us := self._held_by_other_us(now, record, sender, incarnation)) > 0:
             return Refuse(message.name, message.ballot, record.promised, held_us)
--- a/swiftwell/fleet/node.py
+++ b/swiftwell/fleet/node.py
@@ -26,7 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The configuration of a fleet.  `previous_roster`: the one that this epoch replaces, if it is set."""
+    """The configuration of a fleet.
+
+    `me`: this router's index in the roster.  `previous_roster`: the roster that this epoch replaces, during
+    the change.
+    """
 
     roster: tuple[str, ...]
     me: int
@@ -98,7 +102,7 @@
         """Send a message to the handler of this name at another member, with the next step."""
         self._send([(to, messages.UserMessage(name, body))])
 
-    def log_lease(self, name: str) -> Candidate:
+    def writer_lease(self, name: str) -> Candidate:
         """The lease of the writer of a replicated log."""
         return self.leases[f"board/{name}/{self.settings.epoch}"]
 
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/watch.py
@@ -96,7 +96,7 @@
             if not known.left_us and known.entry.state is State.READY:
                 workers.setdefault(known.entry.zone, []).append(name)
         sites = self.desk.judge.sites
-        held = {site: node.log_lease(BOARD + site) for site in sites}
+        held = {site: node.writer_lease(BOARD + site) for site in sites}
         out = self.desk.step(
             now,
             int(self._clock.wall_ms()),
--- a/swiftwell/starting/zone.py
+++ b/swiftwell/starting/zone.py
@@ -26,7 +26,7 @@
     """`board` names the board; `rate`: questions a second of all who share it, while nobody reads."""
 
     def __init__(self, node: FleetNode, board: str, rate: float, now: int) -> None:
-        self.node, self.board, self.lease = node, node.replicated_logs[board], node.log_lease(board)
+        self.node, self.board, self.lease = node, node.replicated_logs[board], node.writer_lease(board)
         group = tuple(sorted((*self.board.others, node.settings.me)))
         self.reading = Reading(node.settings.me, group, board, rate, node.settings.period_us, now)
         self.rows: dict[str, bytes] = {}  # read by us, last
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -29,7 +29,7 @@
     zone.go(5)
     assert len(zone.readers()) == 1 and len(zone.asked) <= 8
     reader = zone.readers()[0]
-    assert zone.nodes[reader].log_lease("list").holds(zone.now)
+    assert zone.nodes[reader].writer_lease("list").holds(zone.now)
     # A change is with everyone soon after the reader has it; loss delays it by what is asked for again.
     zone.rows = dict(list(zone.rows.items())[3:]) | {"127.0.0.1:9": b"new"}
     zone.go(2 + 20 * loss)  # a step of this town takes fifty times a real one
