--- a/swiftwell/fronts/fastcgi/connection.py
+++ b/swiftwell/fronts/fastcgi/connection.py
@@ -36,8 +36,8 @@
     contract: rq.Contract
     healthy: Callable[[], bool]
     draining: bool
-    ids: set[str]
-    turned: Counter[str]
+    open_ids: set[str]
+    rejections: Counter[str]
 
     def unseen_s(self) -> float:
         """For how long, at most, the loop may have looked at no socket."""
@@ -148,13 +148,13 @@
                 Ref((self,), number),
                 age_us=int(age_s * 1e6),
             )
-            if trigger.key in listener.ids:
+            if trigger.key in listener.open_ids:
                 raise rq.Turned(409, "Req-Id is open")
         except rq.Turned as error:
-            listener.turned[f"{error.status} {error}"] += 1
+            listener.rejections[f"{error.status} {error}"] += 1
             self.answer(number, head(error.status))
             return
-        listener.ids.add(trigger.key)
+        listener.open_ids.add(trigger.key)
         self.triggers[number] = trigger
         listener.host.submit(trigger)
 
@@ -166,7 +166,7 @@
     def _forget(self, number: int) -> None:
         trigger = self.triggers.pop(number, None)
         if trigger:
-            self._listener.ids.discard(trigger.key)
+            self._listener.open_ids.discard(trigger.key)
             self._listener.host.gone(trigger.source)
 
     def accepted(self, trigger: Trigger) -> None:
@@ -178,7 +178,7 @@
         if self.triggers.get(number) is not trigger:
             return  # the client gave up, in this very turn
         del self.triggers[number]
-        self._listener.ids.discard(trigger.key)
+        self._listener.open_ids.discard(trigger.key)
         match answer.kind:
             case Kind.SERVED:
                 content = head(200) + answer.body
--- a/swiftwell/fronts/fastcgi/listener.py
+++ b/swiftwell/fronts/fastcgi/listener.py
@@ -51,11 +51,11 @@
         self.unseen_s = unseen_s
         self.port = 0  # once it is open
         self.draining = False
-        self.ids: set[str] = set()  # ids of open requests
+        self.open_ids: set[str] = set()  # ids of open requests
         self.connections: dict[Connection, None] = {}  # the one unused for longest first
-        self.ending: dict[Connection, None] = {}  # finished ones that wait for their client's close
+        self.closing: dict[Connection, None] = {}  # finished ones that wait for their client's close
         self.pending = PendingConnections(self._opened, READ_BYTES)
-        self.turned: Counter[str] = Counter()
+        self.rejections: Counter[str] = Counter()
         self.counts = dict.fromkeys(("accepted", "evicted", "refused", "broken", "exhausted"), 0)
         self._acceptor = Acceptor(self._accepted, self._exhausted)
         self._dirty: dict[Connection, None] = {}
@@ -71,7 +71,7 @@
 
     def __len__(self) -> int:
         """Descriptors that clients hold, but for those that linger within the process's spare ones."""
-        return len(self.connections) + len(self.pending) + max(0, len(self.ending) - MOST_ENDING)
+        return len(self.connections) + len(self.pending) + max(0, len(self.closing) - MOST_ENDING)
 
     def _accepted(self, connected: socket.socket) -> None:
         while len(self) >= self.max_connections:  # one that is ended still holds its descriptor for a while
@@ -101,8 +101,8 @@
 
     def _evict(self) -> bool:
         """Make room for one more connection."""
-        if len(self.ending) > MOST_ENDING:
-            self._cut(next(iter(self.ending)))  # the one that has lingered for longest
+        if len(self.closing) > MOST_ENDING:
+            self._cut(next(iter(self.closing)))  # the one that has lingered for longest
             return True
         if not self.pending.evict_oldest() and not self._evict_unused():
             return False
@@ -134,14 +134,14 @@
     def finishing(self, connection: Connection) -> None:
         """A connection has begun to end; within a bound it is closed, whatever its client does."""
         del self.connections[connection]
-        self.ending[connection] = None
+        self.closing[connection] = None
         asyncio.get_running_loop().call_later(LINGER_S, connection.stream.close)
 
     def ended(self, connection: Connection) -> None:
         """A connection has ended."""
-        if connection in self.connections or connection in self.ending:
+        if connection in self.connections or connection in self.closing:
             self.connections.pop(connection, None)
-            self.ending.pop(connection, None)
+            self.closing.pop(connection, None)
             self._dirty.pop(connection, None)
             connection.close()
             if connection.session.broken:
@@ -169,28 +169,28 @@
         for connection in list(self.connections):
             connection.sweep()
         self.flush()
-        if len(self.turned) > MAX_REASONS:  # a line of each period tells them
-            self.turned.clear()
+        if len(self.rejections) > MAX_REASONS:  # a line of each period tells them
+            self.rejections.clear()
 
     def drain(self) -> None:
         """From now on a connection ends as soon as nothing is owed on it; new ones are still served."""
         self.draining = True
 
-    def end_idle(self) -> None:
+    def close_idle(self) -> None:
         """While draining: end some of the connections on which nothing is owed."""
         idle = (one for one in list(self.connections) if one.idle)
         for connection in itertools.islice(idle, DRAIN_BATCH):
             connection.finish()
 
-    def owes(self) -> bool:
+    def owes_answers(self) -> bool:
         """Whether anything is owed to any client, also on connections that were not looked at yet."""
         if self._acceptor.accept_all() | self.pending.read_all():
             return True
         return not all(one.idle for one in self.connections) or any(
-            one.stream.writing() for one in self.ending
+            one.stream.writing() for one in self.closing
         )
 
-    async def shut(self, until: float) -> None:
+    async def shutdown(self, until: float) -> None:
         """End all connections by draining them; by `until`, monotonic s, whatever their clients do."""
         self._sweeper.stop()
         self._acceptor.accept_all()
@@ -198,7 +198,7 @@
         self.pending.close()
         for connection in list(self.connections):
             connection.finish()
-        while self.ending and time.monotonic() < until:
+        while self.closing and time.monotonic() < until:
             await asyncio.sleep(DRAIN_POLL_S)
         self.close()
 
@@ -207,5 +207,5 @@
         self._sweeper.stop()
         self._acceptor.close()
         self.pending.close()
-        for connection in [*self.connections, *self.ending]:
+        for connection in [*self.connections, *self.closing]:
             connection.stream.close()
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -194,10 +194,10 @@
             self.front.drain()
             quiet = 0
             while quiet < 2 and time.monotonic() < began + schedule.close_s:
-                self.front.end_idle()
+                self.front.close_idle()
                 await asyncio.sleep(QUIET_S)
-                quiet = 0 if self.front.owes() else quiet + 1
-            await self.front.shut(began + schedule.end_s)
+                quiet = 0 if self.front.owes_answers() else quiet + 1
+            await self.front.shutdown(began + schedule.end_s)
         except Exception as error:
             self.log("error", "stop-failed", error=f"{type(error).__name__}: {error}")
         finally:
@@ -216,7 +216,7 @@
                 end()
             except Exception as error:
                 self.log("error", "end-failed", error=f"{type(error).__name__}: {error}")
-        self.log("info", "stopped", open=self.engine.open, owed=len(self.front.ids))
+        self.log("info", "stopped", open=self.engine.open, owed=len(self.front.open_ids))
         self.ended.set()
 
     def _sweep(self) -> None:
@@ -244,7 +244,7 @@
             "info", "figures", lag_ms=round(self._loop_lag.take_worst_s() * 1e3, 1),
             cpu_s=round(time.process_time(), 2), memory_mb=_memory_mb(),
             descriptors=_descriptors(), clients=len(front.connections),
-            replies=kinds, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
+            replies=kinds, turned=dict(front.rejections.most_common(8)), front=dict(front.counts),
             link=dict(self.link.counts), sizes=tables(self.engine) | self.link.sizes(),
             counts=dict(self.engine.counts), ends=dict(self.engine.ends),
             held=self.journal.feed.held, asked=self.journal.connections, list=self._list_figures(),
--- a/tests/test_connection_floods.py
+++ b/tests/test_connection_floods.py
@@ -121,7 +121,7 @@
             Front(node.port) as idle,
         ):
             busy.writer.write(request(1, fields(id_(1))))
-            await until(lambda: node.front.ids)
+            await until(lambda: node.front.open_ids)
             assert (await idle.ask(1, {"SCRIPT_NAME": "/-/healthy"}))[0] == 200
             node.front.max_connections = 2
             async with Front(node.port) as late:
@@ -143,7 +143,7 @@
                 assert (await front.ask(1, fields(id_(1 + number))))[0] == 200
                 kept.append(front)
                 most = max(most, len(node.front))
-            assert most <= 20 and len(node.front.ending) <= lis.MOST_ENDING
+            assert most <= 20 and len(node.front.closing) <= lis.MOST_ENDING
             for front in kept:
                 front.writer.close()
 
@@ -220,7 +220,7 @@
             await until(lambda: len(node.front.connections) == len(held))
             node.front.drain()
             for left in (2, 1, 0):
-                node.front.end_idle()
+                node.front.close_idle()
                 idle = [one for one in node.front.connections if one.idle]
                 assert len(idle) == left * lis.DRAIN_BATCH
             for sock in held:
@@ -247,7 +247,7 @@
                     await until(lambda: len(node.front) == 1)
                     sock.sendall(sent)
                     await until(lambda: not sent or node.front.connections)
-                    await until(lambda: not node.front.ids)
+                    await until(lambda: not node.front.open_ids)
                     if reset:
                         reset_at_close(sock)
                     sock.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -147,7 +147,7 @@
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2))))[0] == 200
             assert [words[1].decode() for words in worker.runs()] == [id_(2)]
-            assert node.engine.open == 0 and not node.front.ids
+            assert node.engine.open == 0 and not node.front.open_ids
             sock.close()
 
     run(main())
@@ -386,7 +386,7 @@
             ):  # so that the others say something: one that waits is served by a second attempt
                 await until(lambda: len(one.runs()) + len(two.runs()) == 2)
             else:
-                await until(lambda: node.engine.open == 0 and not node.front.ids)
+                await until(lambda: node.engine.open == 0 and not node.front.open_ids)
                 async with Front(node.port) as other:
                     assert (await other.ask(1, fields(id_(2))))[0] == 200
                 ran = [words[1].decode() for words in (*one.runs(), *two.runs())]
@@ -412,7 +412,7 @@
     one = list(node.front.connections)[-1]
     one.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     await loop.sock_sendall(sock, whole[50:])
-    await until(lambda: not node.front.ids and one.session.asked)
+    await until(lambda: not node.front.open_ids and one.session.asked)
     await until(one.stream.writing)
     return sock, one
 
@@ -482,13 +482,13 @@
     async def main():
         async with Worker(_large) as worker, router(tmp_path, [worker.port]) as node:
             sock, one = await _unread(node, b"")
-            ending = asyncio.ensure_future(node.front.shut(time.monotonic() + 20))
-            await until(lambda: one in node.front.ending)
+            ending = asyncio.ensure_future(node.front.shutdown(time.monotonic() + 20))
+            await until(lambda: one in node.front.closing)
             sock.send(codec.begin(2))  # crosses the end
             assert (await _rest(sock)).count(b"y") >= 200_000
             sock.close()
             await ending
-            assert not node.front.ending
+            assert not node.front.closing
 
     run(main())
 
@@ -520,7 +520,7 @@
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(3))))[0] == 200
             assert [words[1].decode() for words in worker.runs()] == [id_(1), id_(3)]
-            assert node.engine.open == 0 and not node.front.ids
+            assert node.engine.open == 0 and not node.front.open_ids
 
     run(main())
 
@@ -625,7 +625,7 @@
             def planted():
                 raise RuntimeError("planted")
 
-            node.front.owes = planted
+            node.front.owes_answers = planted
             node.stop()
             await asyncio.wait_for(node.ended.wait(), 20)
             assert '"stop-failed"' in node.lines.getvalue() and '"stopped"' in node.lines.getvalue()
@@ -638,7 +638,7 @@
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node:
             sock = socket.create_connection((HOST, node.port))
             sock.sendall(request(1, fields(id_(1))))
-            assert node.front.owes()  # in this very turn: the loop has not seen it yet
+            assert node.front.owes_answers()  # in this very turn: the loop has not seen it yet
             sock.setblocking(False)
             await until(lambda: worker.runs())
             sock.shutdown(socket.SHUT_WR)
@@ -801,7 +801,7 @@
             node.engine._arrive = planted
             front.writer.write(b"".join(request(number, fields(id_(number))) for number in (1, 2, 3)))
             assert [(await front.answer(number))[0] for number in (1, 2, 3)] == [502, 200, 200]
-            assert not node.front.ids and node.engine.open == 0
+            assert not node.front.open_ids and node.engine.open == 0
 
     run(main())
 
--- a/tests/test_left_clients.py
+++ b/tests/test_left_clients.py
@@ -44,7 +44,7 @@
 
 async def only_others_ran(node, workers, others):
     """Whether nothing but a later request of another client reached a worker."""
-    await until(lambda: node.engine.open == 0 and not node.front.ids)
+    await until(lambda: node.engine.open == 0 and not node.front.open_ids)
     async with Front(node.port) as other:
         assert (await other.ask(1, fields(id_(99), wait="6000")))[0] == 200
     ran = [words[1].decode() for worker in workers for words in worker.runs()]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -40,7 +40,7 @@
         held, slow = held_back()
         async with Worker(slow) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as busy:
             busy.writer.write(request(1, fields(id_(1))))
-            await until(lambda: node.front.ids)
+            await until(lambda: node.front.open_ids)
             node.front.max_connections = 1
             sock = connect(node.port)
             sock.sendall(request(1, fields(id_(2))))  # read by nobody: its connection finds no room
@@ -61,7 +61,7 @@
             failed = failing(monkeypatch, "accept", code, 3)
             sock = connect(node.port)
             sock.sendall(request(1, fields(id_(1))))
-            assert node.front.owes()  # a stop's look at the backlog: one call of its accepting
+            assert node.front.owes_answers()  # a stop's look at the backlog: one call of its accepting
             assert len(failed) == 3 and node.front.counts["accepted"] == 1
             sock.setblocking(False)
             assert b"Status: 200" in await asyncio.get_running_loop().sock_recv(sock, 4_096)
@@ -240,7 +240,7 @@
             sock.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(sock, request(1, fields(id_(1))))
-            await until(lambda: node.front.connections and not node.front.ids and worker.runs())
+            await until(lambda: node.front.connections and not node.front.open_ids and worker.runs())
             (one,) = node.front.connections
             await until(lambda: one.idle)
             one.finish()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -47,7 +47,7 @@
                 assert (status, answer) == (200, b"did " + body)
             assert [words[1].decode() for words in worker.runs()] == [id_(1), id_(2)]
             assert [words[3] for words in worker.runs()] == [b"", bytes(range(256)) * 64]
-            assert node.engine.ledger is None and not node.front.ids
+            assert node.engine.ledger is None and not node.front.open_ids
 
     run(main())
 
@@ -143,7 +143,7 @@
             front.writer.write(codec.record(codec.ABORT, 1, b""))
             assert (await front.answer(1))[0] == 0  # END_REQUEST and no content
             assert (await front.ask(1, fields(id_(2)), b"x"))[0] == 200
-            assert node.engine.counts["left"] == 1 and not node.front.ids
+            assert node.engine.counts["left"] == 1 and not node.front.open_ids
 
     run(main())
 
@@ -252,7 +252,7 @@
                 front.done.clear()
             await until(lambda: node.engine.open == 0)
             sizes = node.link.sizes()
-            assert sizes["worker_jobs"] == 0 and not node.front.ids and not node.engine._of
+            assert sizes["worker_jobs"] == 0 and not node.front.open_ids and not node.engine._of
 
     run(main())
 
