--- a/swiftwell/gateway/event_loop.py
+++ b/swiftwell/gateway/event_loop.py
@@ -145,7 +145,7 @@
             case ports.Recall():
                 self.link.recall(out)
             case ports.Ask():
-                self.link.ask(out)
+                self.link.probe(out)
             case ports.Line():
                 self.log(out.level, out.event, **dict(out.fields))
             case ports.AskList() | ports.Write():
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -92,7 +92,9 @@
         )
         self.link = Link(site.name, bounds, self._from_workers, self.log, self.clock.started_us)
         if w.worker_connections and site.fleet:  # no loan yet
-            self.link.allow(w.worker_connections * Share("", len(site.fleet.member)).own // MILLION)
+            self.link.limit_connections(
+                w.worker_connections * Share("", len(site.fleet.member)).own // MILLION
+            )
         self.keeper: Keeper | None = None
         self._service: sources.ListService | None = None
         self._lock = -1
@@ -382,7 +384,7 @@
         if fleet.sites:
             homes = [one.zone for one in fleet.member]
             self.watch = Watch(
-                link, homes, self._ranks(), self.engine, self.clock, self.link.ask, self.log,
+                link, homes, self._ranks(), self.engine, self.clock, self.link.probe, self.log,
                 self._chance.getrandbits(32),
             )  # fmt: skip
             self._tasks.append(asyncio.ensure_future(self.watch.run()))
@@ -452,7 +454,7 @@
         """
         share, now = link.node.shares["connections"], link.now_us()
         parts = min(share.parts(now), share.parts(now + int(2e6 * LOOK_S)))
-        self.link.allow(self.site.workers.worker_connections * parts // MILLION)
+        self.link.limit_connections(self.site.workers.worker_connections * parts // MILLION)
 
     def _admit(self, packet: Connect) -> Reason | None:
         users = self.site.listener.user if self.site.listener else ()
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -317,7 +317,7 @@
     gateway.resting = _streams(gateway)
     for stream in gateway.resting:
         _rest(stream)
-    gateway.link.hold(True)
+    gateway.link.set_paused(True)
     _sweeping(gateway, False)
     until = time.monotonic() + within_s
     # What had been read already runs through; the ledger catches up.
@@ -341,7 +341,7 @@
     gateway.resting = []
     for _, server in _servers(gateway):
         server.add_sockets(list(server._sockets.values()))
-    gateway.link.hold(False)
+    gateway.link.set_paused(False)
     _sweeping(gateway, True)
     gateway.resume()
 
@@ -391,7 +391,7 @@
     state.amqp = [_amqp_out(link, add) for link in gateway.amqp]
     for key, job in gateway.link._jobs.items():
         state.jobs.append(_job_out(job, add, "run", id=key[0], number=key[1]))
-    for job, (kind, number) in gateway.link.others.items():
+    for job, (kind, number) in gateway.link.timed_jobs.items():
         state.jobs.append(_job_out(job, add, kind, number=number))
     for known in engine.list.known.values():
         values = {one.name: getattr(known, one.name) for one in fields(Known) if one.name != "entry"}
@@ -754,7 +754,7 @@
 
 def _job_in(gateway: Gateway, one: JobState, fds: list[int]) -> None:
     link = gateway.link
-    job = link.job_again(
+    job = link.restore_job(
         one.kind, one.worker, one.id, one.number, one.data, one.began, one.until, one.streamed
     )
     if one.fd < 0:
@@ -764,4 +764,4 @@
     sock.setblocking(False)
     connection = WorkerConnection(link, one.worker, IOStream(sock), link._bounds.answer)
     link._workers.setdefault(one.worker, _Worker()).open += 1
-    link.carry_on(job, connection, one.unsent, one.raw)
+    link.resume_job(job, connection, one.unsent, one.raw)
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -126,7 +126,7 @@
             self._leases.listed(worker.id)
         for worker in self.addresses.take(event):
             self._leases.forget(worker)
-            self.link.gone(worker)
+            self.link.worker_removed(worker)
         members = self._start_times.members(event, self.clock.now_us(), at_our_start=self._starting)
         if not event.whole:
             self._log_changes(event)
--- a/swiftwell/workers/link.py
+++ b/swiftwell/workers/link.py
@@ -133,11 +133,11 @@
     ) -> None:
         self._gateway, self._bounds, self._put, self.log = gateway, bounds, put, log
         self._started = started  # a worker's start in wall-clock ms as monotonic us
-        self.most = bounds.connections  # to one worker now; see `allow`
+        self.max_connections = bounds.connections  # to one worker now; see `limit_connections`
         self._workers: dict[str, _Worker] = {}
         self._jobs: dict[tuple[str, int], _Job] = {}
-        self.others: dict[_Job, tuple[str, int]] = {}  # orders and questions: kind, number
-        self._held = False
+        self.timed_jobs: dict[_Job, tuple[str, int]] = {}  # orders and questions: kind, number
+        self._paused = False
         self._waiting: list[_Job] = []
         self._client = TCPClient()
         self._tasks: set[asyncio.Task] = set()
@@ -198,7 +198,7 @@
     def recall(self, act: ports.Recall) -> None:
         """Forget an order that waits for a connection: it has ended in the engine's books."""
         for job in [
-            job for job, of in self.others.items() if of == ("order", act.number) and not job.written
+            job for job, of in self.timed_jobs.items() if of == ("order", act.number) and not job.written
         ]:
             self._stop(job, Status.MOOT)
 
@@ -222,7 +222,7 @@
         job = _Job(worker, data, ended, began)
         return self._limited(job, "order", number, until)
 
-    def ask(self, act: ports.Ask) -> None:
+    def probe(self, act: ports.Ask) -> None:
         """Ask a worker whether it is there; any answer says so."""
         request = protocol.hold(self._gateway, act.worker, protocol.NO_FUNCTION, 0, 0.0, 1)
         now = time.monotonic()
@@ -244,28 +244,28 @@
         """A job with a time limit of the link's own."""
         job.until = until
         job.timer = self._loop.call_later(max(0.0, until - time.monotonic()), self._stop, job, Status.TIMEOUT)
-        self.others[job] = (kind, number)
+        self.timed_jobs[job] = (kind, number)
         return job
 
     def _over(self, job: _Job) -> None:
         self._loop.remove_timeout(job.timer)
-        self.others.pop(job, None)
+        self.timed_jobs.pop(job, None)
 
     # Another process goes on with what this one did (handover/state.py).
 
     def all_jobs(self) -> list[_Job]:
         """Everything on its way."""
-        return [*self._jobs.values(), *self.others]
+        return [*self._jobs.values(), *self.timed_jobs]
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Open no connection while on: what waits for one is begun anew by whoever goes on."""
-        self._held = on
+        self._paused = on
         if not on:
             waiting, self._waiting = self._waiting, []
             for job in waiting:
                 self._begin(job)
 
-    def job_again(
+    def restore_job(
         self,
         kind: str,
         worker: str,
@@ -283,7 +283,7 @@
             return self._order_job(worker, number, data, began, until)
         return self._ask_job(worker, data, began, until)
 
-    def carry_on(self, job: _Job, connection: _Connection, unsent: bytes, raw: bytes) -> None:
+    def resume_job(self, job: _Job, connection: _Connection, unsent: bytes, raw: bytes) -> None:
         """Its request has been written, at least in part, on this connection; so much of its answer has
         come."""
         connection.job, job.connection, job.written = job, connection, True
@@ -299,7 +299,7 @@
     def _begin(self, job: _Job) -> None:
         if job.over:
             return
-        if self._held:
+        if self._paused:
             self._waiting.append(job)
             return
         worker = self._workers.setdefault(job.worker, _Worker())
@@ -308,7 +308,7 @@
             if not connection.stream.closed():
                 self._write(job, connection)
                 return
-        if worker.open >= self.most:
+        if worker.open >= self.max_connections:
             # Told on a later turn: the engine is in the middle of its outputs.  Full, as the bound is ours:
             # after a failed connection the module forgets the copies there and takes it for a starting one.
             self._loop.add_callback(self.end, job, _End(None, Status.FULL, Ran.NEVER))
@@ -331,7 +331,7 @@
         connection = _Connection(self, job.worker, stream, self._bounds.answer)
         if job.over:  # given up while the connection was opened: keep it for the next
             self.release(connection)
-        elif self._held:  # nothing may be written now
+        elif self._paused:  # nothing may be written now
             self._waiting.append(job)
             self.release(connection)
         else:
@@ -368,16 +368,16 @@
         """A connection is free again."""
         worker = self._workers.setdefault(connection.worker, _Worker())
         connection.job, connection.since = None, time.monotonic()
-        if len(worker.idle) < self._bounds.idle and worker.open <= self.most:
+        if len(worker.idle) < self._bounds.idle and worker.open <= self.max_connections:
             worker.idle.append(connection)
         else:
             connection.stream.close()
 
-    def allow(self, most: int) -> None:
+    def limit_connections(self, most: int) -> None:
         """So many connections to one worker from now on, one at least; unused ones beyond it are closed."""
-        self.most = max(1, min(most, self._bounds.connections))
+        self.max_connections = max(1, min(most, self._bounds.connections))
         for worker in self._workers.values():
-            for _ in range(min(worker.open - self.most, len(worker.idle))):
+            for _ in range(min(worker.open - self.max_connections, len(worker.idle))):
                 worker.idle.pop().stream.close()
 
     def closed(self, connection: _Connection, status: Status, too_large: bool) -> None:
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -46,7 +46,7 @@
 class _Worker:
     connections: list[Connection] = field(default_factory=list)
     judging: Connection | None = None  # shows whether the process lives
-    gone: bool = False
+    removed: bool = False
 
 
 class RespLink:
@@ -162,7 +162,7 @@
         if job.connection:
             job.connection.give_up(job)
 
-    def ask(self, act: ports.Ask) -> None:
+    def probe(self, act: ports.Ask) -> None:
         """Nobody is asked here: there is no saved list to check."""
         self._put(ports.Asked(act.worker, False))
 
@@ -170,8 +170,8 @@
 
     def _begin(self, job: Job) -> None:
         worker = self._workers.setdefault(job.worker, _Worker())
-        if worker.gone and self._address(job.worker):
-            worker.gone = False  # listed again: else each sweep closed what it had just opened
+        if worker.removed and self._address(job.worker):
+            worker.removed = False  # listed again: else each sweep closed what it had just opened
         self._earned = min(MOST_EARNED, self._earned + EARNED)
         connection = self._pick(job, worker)
         if connection is None:
@@ -231,7 +231,7 @@
             worker.connections.remove(connection)
             if connection.up:
                 self._stands(ports.WorkerDisconnected(connection.worker, _now_us()))
-            if worker.gone and not worker.connections:
+            if worker.removed and not worker.connections:
                 del self._workers[connection.worker]
         for job in jobs:
             job.connection = None
@@ -318,11 +318,11 @@
         for connection in dirty:
             connection.flush()
 
-    def gone(self, worker_id: str) -> None:
+    def worker_removed(self, worker_id: str) -> None:
         """A worker has left the list: its connections go once nothing is on them."""
         worker = self._workers.get(worker_id)
         if worker:
-            worker.gone = True
+            worker.removed = True
             if not worker.connections:
                 del self._workers[worker_id]
 
@@ -335,7 +335,7 @@
             kept = self._keep_alive(worker, now) if keeps_alive and address else None
             for one in list(worker.connections):
                 stale = one is not kept and one.used < now - IDLE_PART * self._bounds.idle_s
-                if not one.jobs and (stale or one.doubted or worker.gone or one.address != address):
+                if not one.jobs and (stale or one.doubted or worker.removed or one.address != address):
                     one.close()
             if address is None and not worker.connections:
                 del self._workers[name]  # made anew by what was still on its way to one that had gone
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -185,15 +185,15 @@
                 link.start(ports.Start(f"c{number}", 0, address, trigger(), 1_000_000))
             await asyncio.sleep(0.2)
             assert link.sizes()["worker_connections"] == 6 and len(ends) == 4
-            link.allow(1)
+            link.limit_connections(1)
             await asyncio.sleep(0.1)
             assert link.sizes()["worker_connections"] == 2  # both at work
             await asyncio.sleep(0.4)
             assert link.sizes()["worker_connections"] == 1 and [e.status for e in ends] == [Status.OK] * 6
-            link.allow(0)
-            assert link.most == 1  # with none nobody could be served
-            link.allow(100)
-            assert link.most == 8
+            link.limit_connections(0)
+            assert link.max_connections == 1  # with none nobody could be served
+            link.limit_connections(100)
+            assert link.max_connections == 8
             link.close()
 
     run(main())
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -423,7 +423,7 @@
             await play.ends()
             play.at = {"new": (HOST, worker.port)}
             play.link._address = play.at.get
-            play.link.gone("old")
+            play.link.worker_removed("old")
             play.start("c2", "new", id_="0" * 16)
             await play.ends(2)
             play.link.sweep()
@@ -446,7 +446,7 @@
             play.start("c1")
             await until(lambda: worker.got)
             at = play.at.pop("w")
-            play.link.gone("w")  # its connection is in use: it stays for now
+            play.link.worker_removed("w")  # its connection is in use: it stays for now
             play.at["w"] = at
             play.start("c2", id_=OTHER)
             go.set()
@@ -456,7 +456,7 @@
             await play.ends(3)
             assert worker.connections == 1
             play.at.pop("w")
-            play.link.gone("w")
+            play.link.worker_removed("w")
             play.link.sweep()
             await until(lambda: not play.link._workers)
             play.start("c4")  # on its way to one that has gone: refused, and no table keeps it
