--- a/swiftwell/discovery/sources.py
+++ b/swiftwell/discovery/sources.py
@@ -133,7 +133,7 @@
             client = Client(host, port, 0.5)
             try:
                 target = f"/v1/health/service/{self._service}"
-                answer = await client.ask(Request("GET", target, {"swiftwell-gateway": self._gateway}), 1.0)
+                answer = await client.fetch(Request("GET", target, {"swiftwell-gateway": self._gateway}), 1.0)
                 age = answer.headers.get("x-swiftwell-age-ms", "")
                 if answer.status != 200 or not age.isdigit():
                     continue
@@ -148,7 +148,7 @@
     async def _ask(self, client: Client) -> None:
         target = f"/v1/health/service/{self._service}?index={self.index}&wait={self._wait_s}s"
         asked = Request("GET", target, {"swiftwell-gateway": self._gateway})
-        answer = await client.ask(asked, self._wait_s + SLACK_S)
+        answer = await client.fetch(asked, self._wait_s + SLACK_S)
         if answer.status != 200:
             raise Unreachable(f"status {answer.status}")
         entries, problems = from_service(answer.body, self._started)
--- a/swiftwell/http/__init__.py
+++ b/swiftwell/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as far as it is used: a parser without I/O, a small server, a small client."""
+"""The parts of HTTP/1.1 that are used: a parser without I/O, a small server and a small client."""
--- a/swiftwell/http/client.py
+++ b/swiftwell/http/client.py
@@ -1,4 +1,4 @@
-"""One HTTP request over a connection of its own, or over one that is kept for the next."""
+"""A small HTTP client that keeps its connection open between requests."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class Unreachable(Exception):
-    """No answer came; the text says what happened."""
+    """No response arrived; the text says why."""
 
 
 class Client:
-    """Asks one server, keeping its connection between requests; one request at a time."""
+    """Client of one server, for one request at a time; keeps the connection between requests."""
 
-    def __init__(self, host: str, port: int, connect_s: float = 2.0, most_body: int = 8 << 20) -> None:
-        self._host, self._port, self._connect_s, self._most = host, port, connect_s, most_body
+    def __init__(self, host: str, port: int, connect_s: float = 2.0, max_body: int = 8 << 20) -> None:
+        self._host, self._port, self._connect_s, self._max_body = host, port, connect_s, max_body
         self._stream: IOStream | None = None
 
-    async def ask(self, request: Request, within_s: float) -> Response:
-        """Ask and wait for the answer; raises Unreachable."""
+    async def fetch(self, request: Request, timeout_s: float) -> Response:
+        """Send a request and wait for the response; raises Unreachable."""
         try:
-            return await asyncio.wait_for(self._ask(request), within_s)
+            return await asyncio.wait_for(self._fetch(request), timeout_s)
         except (OSError, StreamClosedError, BadMessage, TimeoutError) as error:
             self.close()
             raise Unreachable(f"{self._host}:{self._port}: {str(error) or type(error).__name__}") from None
 
-    async def _ask(self, request: Request) -> Response:
+    async def _fetch(self, request: Request) -> Response:
         if self._stream is None or self._stream.closed():
             connecting = TCPClient().connect(self._host, self._port)
             self._stream = await asyncio.wait_for(connecting, self._connect_s)
         request.headers.setdefault("host", f"{self._host}:{self._port}")
-        parser = Parser(True, self._most)
+        parser = Parser(True, self._max_body)
         await self._stream.write(encode(request))
         while True:
             for message in parser.feed(await self._stream.read_bytes(65_536, partial=True)):
                 if isinstance(message, Response):
-                    if not message.keep or not parser.idle:
+                    if not message.keep_alive or not parser.idle:
                         self.close()
                     return message
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         if self._stream:
             self._stream.close()
         self._stream = None
--- a/swiftwell/standins/worker.py
+++ b/swiftwell/standins/worker.py
@@ -60,7 +60,7 @@
 
     def start(self, port: int = 0) -> int:
         """Listen; returns the port."""
-        self._server = Server(self._answer, opened=self._connected)
+        self._server = Server(self._answer, on_open=self._connected)
         self._port = self._server.start_on(port)
         self.name = f"127.0.0.1:{self._port}"
         return self._port
@@ -88,7 +88,7 @@
         self.model = CalcServer(self.machine, _now(), cold=True, keys=self._keys)
         self.started_ms = time.time() * 1e3
         self.draining = self.down = False
-        self._server = Server(self._answer, opened=self._connected)
+        self._server = Server(self._answer, on_open=self._connected)
         self._server.start_on(self._port)
         self.trace.note("started", worker=self.name)
         self._tell("running")
@@ -147,7 +147,7 @@
 
     def _listen_again(self) -> None:
         if not self.down:
-            self._server = Server(self._answer, opened=self._connected)
+            self._server = Server(self._answer, on_open=self._connected)
             self._server.start_on(self._port)
 
     def _thaw(self) -> None:
@@ -331,7 +331,7 @@
             host, _, port = self._store.rpartition(":")
             client = Client(host, int(port))
             try:
-                answer = await client.ask(Request("GET", "/model/" + function.replace(" ", "%20")), 30.0)
+                answer = await client.fetch(Request("GET", "/model/" + function.replace(" ", "%20")), 30.0)
                 ok = answer.status == 200
             except (Unreachable, StreamClosedError):
                 ok = False
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -466,7 +466,7 @@
             client = HttpClient("127.0.0.1", gw.health_port)
 
             async def status(page):
-                return (await client.ask(HttpRequest("GET", page), 2.0)).status
+                return (await client.fetch(HttpRequest("GET", page), 2.0)).status
 
             assert (await status("/healthz"), await status("/readyz")) == (200, 503)
             (tmp_path / "list.kdl").write_text('worker "127.0.0.1:9" kind="k"\n')
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from swiftwell.http.http1 import BadMessage, Begun, Parser, Request, Response, TooLarge, encode
+from swiftwell.http.http1 import BadMessage, MessageStarted, Parser, Request, Response, TooLarge, encode
 
 NAMES = st.text(st.sampled_from("abcdefgh-"), min_size=1, max_size=8).filter(
     lambda n: n not in ("content-length", "connection")
@@ -17,7 +17,7 @@
 def feed(parser, raw, cuts=()):
     out = []
     for start, end in zip([0, *cuts], [*cuts, len(raw)], strict=True):
-        out += [m for m in parser.feed(raw[start:end]) if not isinstance(m, Begun)]
+        out += [m for m in parser.feed(raw[start:end]) if not isinstance(m, MessageStarted)]
     return out
 
 
@@ -110,8 +110,8 @@
 
 def test_what_ends_the_connection():
     raw = OK + b"Connection: close\r\nContent-Length: 0\r\n\r\n"
-    assert not feed(Parser(True), raw)[0].keep
-    assert not feed(Parser(True), b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")[0].keep
+    assert not feed(Parser(True), raw)[0].keep_alive
+    assert not feed(Parser(True), b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")[0].keep_alive
 
 
 def test_a_line_break_in_a_header_is_not_written():
