--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -527,14 +527,14 @@
 
 
 def _job_out(job: _Job, add: Any, kind: str, **more: Any) -> JobState:
-    out = JobState(kind, job.worker, data=job.data, began=job.began, until=job.until, **more)
-    out.streamed = job.first is not None
+    out = JobState(kind, job.worker, data=job.data, began=job.started_s, until=job.deadline_s, **more)
+    out.streamed = job.on_first_byte is not None
     connection = job.connection
     if connection and job.written and not connection.stream.closed():
         out.fd, out.unsent, out.raw = (
             add(connection.stream.socket.fileno()),
             _unsent(connection.stream),
-            bytes(connection.raw),
+            bytes(connection.received),
         )
     return out
 
@@ -758,7 +758,7 @@
         one.kind, one.worker, one.id, one.number, one.data, one.began, one.until, one.streamed
     )
     if one.fd < 0:
-        link._begin(job)
+        link._dispatch(job)
         return
     sock = socket.socket(fileno=os.dup(fds[one.fd]))
     sock.setblocking(False)
--- a/swiftwell/workers/__init__.py
+++ b/swiftwell/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The link to workers: HTTP/1.1 parser, connection pool, and what an attempt's end proves."""
+"""Links to workers: connections over HTTP and RESP, and what an answer proves about an attempt."""
--- a/swiftwell/workers/link.py
+++ b/swiftwell/workers/link.py
@@ -1,10 +1,8 @@
-"""The link to workers: carries out attempts and orders over pooled connections, and says what each end
-proves.
+"""The HTTP link to workers: sends attempts and load orders over pooled connections, reports their results.
 
-An attempt goes through `waiting for a connection` (never ran), then `written` (may have run, from the first
-byte handed to
-the kernel on), until its end.  There is one attempt on a connection at a time, so no answer can be another's;
-bytes that nobody asked for end the connection.
+An attempt first waits for a connection (it never ran), then counts as written (it may have run, from the
+first byte handed to the kernel on) until it ends.  A connection carries one attempt at a time, so an answer
+can't be taken for that of another attempt; bytes that arrive without a request end the connection.
 """
 
 from __future__ import annotations
@@ -20,43 +18,43 @@
 
 from swiftwell.fronts.trigger import Ran
 from swiftwell.gateway import ports
-from swiftwell.http.http1 import BadMessage, Begun, Parser, Response, TooLarge, encode
+from swiftwell.http.http1 import BadMessage, MessageStarted, Parser, Response, TooLarge, encode
 from swiftwell.interface import Status
 from swiftwell.workers import protocol
 
-IDLE_S = 30.0  # s that an unused connection is kept
+IDLE_TIMEOUT_S = 30.0  # unused connections are closed after this
 
 
 @dataclass(frozen=True, slots=True)
 class LinkBounds:
-    """What the link allows; the site's settings state it."""
+    """Limits of the link, from the settings of the site."""
 
     connections: int = 64  # to one worker
     connect_s: float = 0.25
-    answer: int = 1 << 20  # bytes of an answer's body
+    answer: int = 1 << 20  # bytes of a response body
     idle: int = 16  # unused connections kept to one worker
     order_s: float = 10.0
 
 
 @dataclass(slots=True, eq=False)
 class _Job:
-    """An attempt or an order on its way."""
+    """An attempt, a load order or a probe on its way to a worker."""
 
     worker: str
     data: bytes
-    ended: Callable[[_End], None]
-    began: float
-    first: Callable[[], None] | None = None
+    on_end: Callable[[_JobResult], None]
+    started_s: float  # monotonic s
+    on_first_byte: Callable[[], None] | None = None
     connection: _Connection | None = None
     written: bool = False
-    over: bool = False
+    done: bool = False
     timer: object = None
-    until: float = 0.0  # of orders and questions: when they count as unanswered, monotonic s
+    deadline_s: float = 0.0  # of load orders and probes: when they count as unanswered, monotonic s
 
 
 @dataclass(slots=True)
-class _End:
-    """How a job ended: an answer, or a status with what it proves."""
+class _JobResult:
+    """How a job ended: with a response, or with a status and whether the worker may have run it."""
 
     response: Response | None
     status: Status
@@ -73,70 +71,73 @@
 class _Connection:
     """One connection to a worker and the job on it."""
 
-    def __init__(self, link: Link, worker: str, stream: IOStream, most: int) -> None:
+    def __init__(self, link: Link, worker: str, stream: IOStream, max_body: int) -> None:
         self.link, self.worker, self.stream = link, worker, stream
-        self.parser = Parser(True, most)
+        self.parser = Parser(True, max_body)
         self.job: _Job | None = None
-        self.since = 0.0
-        self.raw = bytearray()  # what of the job's answer has come, for a process that goes on with it
+        self.idle_since_s = 0.0
+        self.received = bytearray()  # bytes of the job's answer so far, for a process that takes the job over
 
     async def read(self) -> None:
-        """Read answers until the connection ends; always reading, so that a peer's closing is seen at
-        once."""
-        too_large, why = False, ""
+        """Read answers until the connection ends.
+
+        A read is always pending, so that the peer's close is noticed at once.
+        """
+        too_large, error_text = False, ""
         try:
             while True:
                 data = await self.stream.read_bytes(65_536, partial=True)
                 job = self.job
-                if job is None:  # a worker that answers twice
-                    why = "bytes that nobody asked for"
+                if job is None:  # e.g. a worker that answers twice
+                    error_text = "received bytes without an open request"
                     break
-                self.raw += data
+                self.received += data
                 for message in self.parser.feed(data):
-                    if isinstance(message, Begun):
-                        if job.first and not job.over:
-                            job.first()
+                    if isinstance(message, MessageStarted):
+                        if job.on_first_byte and not job.done:
+                            job.on_first_byte()
                         continue
                     assert isinstance(message, Response)
                     self.job = None
-                    reuse = message.keep and self.parser.idle
+                    reuse = message.keep_alive and self.parser.idle
                     if reuse:
                         self.link.release(self)
-                    self.link.end(job, _End(message, Status.OK, Ran.YES))
+                    self.link.finish(job, _JobResult(message, Status.OK, Ran.YES))
                     if not reuse:
                         return
         except StreamClosedError:
             pass
         except TooLarge as error:
-            too_large, why = True, str(error)
+            too_large, error_text = True, str(error)
         except BadMessage as error:
-            why = str(error)
+            error_text = str(error)
         finally:
-            if why:
-                self.link.log("warning", "bad-answer", worker=self.worker, why=why)
-            self.link.closed(self, Status.ERROR if why else Status.RESET, too_large)
+            if error_text:
+                self.link.log("warning", "bad-answer", worker=self.worker, why=error_text)
+            self.link.connection_closed(self, Status.ERROR if error_text else Status.RESET, too_large)
 
 
 class Link:
     """All connections to workers.
 
-    `put` takes what happened to the engine; it is called from the loop, never from within `start` or `order`.
+    `enqueue` passes results to the engine; it is called from the event loop, never from within `start` or
+    `order`.
     """
 
     def __init__(
         self,
         gateway: str,
         bounds: LinkBounds,
-        put: Callable[[ports.Input], None],
+        enqueue: Callable[[ports.Input], None],
         log: Callable[..., None],
-        started: Callable[[float], int] = lambda ms: 0,
+        start_time_us: Callable[[float], int] = lambda ms: 0,
     ) -> None:
-        self._gateway, self._bounds, self._put, self.log = gateway, bounds, put, log
-        self._started = started  # a worker's start in wall-clock ms as monotonic us
-        self.max_connections = bounds.connections  # to one worker now; see `limit_connections`
+        self._gateway, self._bounds, self._enqueue, self.log = gateway, bounds, enqueue, log
+        self._start_time_us = start_time_us  # converts a worker's start from wall-clock ms to monotonic us
+        self.max_connections = bounds.connections  # to one worker; see `limit_connections`
         self._workers: dict[str, _Worker] = {}
         self._jobs: dict[tuple[str, int], _Job] = {}
-        self.timed_jobs: dict[_Job, tuple[str, int]] = {}  # orders and questions: kind, number
+        self.timed_jobs: dict[_Job, tuple[str, int]] = {}  # load orders and probes: kind, number
         self._paused = False
         self._waiting: list[_Job] = []
         self._client = TCPClient()
@@ -144,126 +145,136 @@
         self._loop = IOLoop.current()
 
     def start(self, act: ports.Start) -> None:
-        """Begin an attempt."""
-        request = protocol.run(self._gateway, act.worker, act.id, act.number, act.left_us, act.trigger)
+        """Start an attempt."""
+        request = protocol.run_request(
+            self._gateway, act.worker, act.id, act.number, act.left_us, act.trigger
+        )
         job = self._run_job(act.worker, act.id, act.number, encode(request), time.monotonic(), act.streamed)
-        self._begin(job)
+        self._dispatch(job)
 
-    def _run_job(self, worker: str, id_: str, number: int, data: bytes, began: float, streamed: bool) -> _Job:
+    def _run_job(
+        self, worker: str, id_: str, number: int, data: bytes, started_s: float, streamed: bool
+    ) -> _Job:
         key = (id_, number)
 
-        def ended(end: _End) -> None:
+        def on_end(result: _JobResult) -> None:
             self._jobs.pop(key, None)
-            latency = int((time.monotonic() - began) * 1e6)
-            if end.response is None:
-                told = ports.AttemptEnd(
-                    id_, number, end.status, end.ran, latency_us=latency, too_large=end.too_large
+            latency = int((time.monotonic() - started_s) * 1e6)
+            if result.response is None:
+                end = ports.AttemptEnd(
+                    id_, number, result.status, result.ran, latency_us=latency, too_large=result.too_large
                 )
             else:
-                v = protocol.ran(end.response)
-                told = ports.AttemptEnd(
+                verdict = protocol.run_verdict(result.response)
+                end = ports.AttemptEnd(
                     id_,
                     number,
-                    v.status,
-                    v.ran,
-                    end.response.body if v.status is Status.OK else b"",
+                    verdict.status,
+                    verdict.ran,
+                    result.response.body if verdict.status is Status.OK else b"",
                     latency,
-                    v.found,
-                    v.crowd,
-                    v.held,
-                    v.draining,
-                    started_us=self._started(v.started_ms),
+                    verdict.copy_state,
+                    verdict.function_calls_waiting,
+                    verdict.worker_calls_held,
+                    verdict.draining,
+                    started_us=self._start_time_us(verdict.started_ms),
                     answered=True,
                 )
-            self._put(told)
+            self._enqueue(end)
 
-        job = _Job(worker, data, ended, began)
+        job = _Job(worker, data, on_end, started_s)
         if streamed:
-            job.first = lambda: self._put(ports.FirstByte(id_, number))
+            job.on_first_byte = lambda: self._enqueue(ports.FirstByte(id_, number))
         self._jobs[key] = job
         return job
 
     def abandon(self, act: ports.Abandon) -> None:
-        """Stop waiting for an attempt: its connection is of no further use."""
+        """Stop waiting for an attempt.  Its connection is closed, as its answer may still arrive there."""
         job = self._jobs.get((act.id, act.number))
         if job:
-            self._stop(job, act.status)
+            self._cancel(job, act.status)
 
     def withdraw(self, act: ports.Withdraw) -> None:
         """Take back an attempt that waits for a connection."""
         job = self._jobs.get((act.id, act.number))
         if job and not job.written:
-            self._stop(job, Status.MOOT)
+            self._cancel(job, Status.MOOT)
 
     def recall(self, act: ports.Recall) -> None:
-        """Forget an order that waits for a connection: it has ended in the engine's books."""
+        """Take back a load order that waits for a connection: the engine counts it as ended."""
         for job in [
             job for job, of in self.timed_jobs.items() if of == ("order", act.number) and not job.written
         ]:
-            self._stop(job, Status.MOOT)
+            self._cancel(job, Status.MOOT)
 
     def order(self, act: ports.Order) -> None:
-        """Send an order to load, or a question."""
-        request = protocol.hold(self._gateway, act.worker, act.function, act.copies, act.memory_mb, act.lanes)
+        """Send a load order, or a query for the number of copies."""
+        request = protocol.load_request(
+            self._gateway, act.worker, act.function, act.copies, act.memory_mb, act.lanes
+        )
         now = time.monotonic()
-        self._begin(self._order_job(act.worker, act.number, encode(request), now, now + self._bounds.order_s))
-
-    def _order_job(self, worker: str, number: int, data: bytes, began: float, until: float) -> _Job:
-        def ended(end: _End) -> None:
-            self._over(job)
-            latency = int((time.monotonic() - began) * 1e6)
-            status, copies, draining, start = end.status, 0, False, 0
-            if end.response is not None:
-                status, copies, draining = protocol.held(end.response)
-                start = self._started(protocol.started_ms(end.response))
-            heard = end.response is not None
-            self._put(ports.OrderEnd(number, status, copies, latency, draining, start, heard))
-
-        job = _Job(worker, data, ended, began)
-        return self._limited(job, "order", number, until)
+        self._dispatch(
+            self._order_job(act.worker, act.number, encode(request), now, now + self._bounds.order_s)
+        )
+
+    def _order_job(self, worker: str, number: int, data: bytes, started_s: float, deadline_s: float) -> _Job:
+        def on_end(result: _JobResult) -> None:
+            self._clear_deadline(job)
+            latency = int((time.monotonic() - started_s) * 1e6)
+            status, copies, draining, start = result.status, 0, False, 0
+            if result.response is not None:
+                status, copies, draining = protocol.load_result(result.response)
+                start = self._start_time_us(protocol.started_ms(result.response))
+            answered = result.response is not None
+            self._enqueue(ports.OrderEnd(number, status, copies, latency, draining, start, answered))
+
+        job = _Job(worker, data, on_end, started_s)
+        return self._with_deadline(job, "order", number, deadline_s)
 
     def probe(self, act: ports.Ask) -> None:
-        """Ask a worker whether it is there; any answer says so."""
-        request = protocol.hold(self._gateway, act.worker, protocol.NO_FUNCTION, 0, 0.0, 1)
+        """Probe whether a worker is there; any answer proves it."""
+        request = protocol.load_request(self._gateway, act.worker, protocol.NO_FUNCTION, 0, 0.0, 1)
         now = time.monotonic()
-        self._begin(self._ask_job(act.worker, encode(request), now, now + act.within_us / 1e6))
+        self._dispatch(self._probe_job(act.worker, encode(request), now, now + act.within_us / 1e6))
 
-    def _ask_job(self, worker: str, data: bytes, began: float, until: float) -> _Job:
-        def ended(end: _End) -> None:
-            self._over(job)
+    def _probe_job(self, worker: str, data: bytes, started_s: float, deadline_s: float) -> _Job:
+        def on_end(result: _JobResult) -> None:
+            self._clear_deadline(job)
             draining, start = False, 0
-            if end.response is not None:
-                draining = protocol.held(end.response)[2]
-                start = self._started(protocol.started_ms(end.response))
-            self._put(ports.Asked(worker, end.response is not None, draining, start))
-
-        job = _Job(worker, data, ended, began)
-        return self._limited(job, "ask", 0, until)
-
-    def _limited(self, job: _Job, kind: str, number: int, until: float) -> _Job:
-        """A job with a time limit of the link's own."""
-        job.until = until
-        job.timer = self._loop.call_later(max(0.0, until - time.monotonic()), self._stop, job, Status.TIMEOUT)
+            if result.response is not None:
+                draining = protocol.load_result(result.response)[2]
+                start = self._start_time_us(protocol.started_ms(result.response))
+            self._enqueue(ports.Asked(worker, result.response is not None, draining, start))
+
+        job = _Job(worker, data, on_end, started_s)
+        return self._with_deadline(job, "ask", 0, deadline_s)
+
+    def _with_deadline(self, job: _Job, kind: str, number: int, deadline_s: float) -> _Job:
+        """Start the link's own timer for a job."""
+        job.deadline_s = deadline_s
+        job.timer = self._loop.call_later(
+            max(0.0, deadline_s - time.monotonic()), self._cancel, job, Status.TIMEOUT
+        )
         self.timed_jobs[job] = (kind, number)
         return job
 
-    def _over(self, job: _Job) -> None:
+    def _clear_deadline(self, job: _Job) -> None:
         self._loop.remove_timeout(job.timer)
         self.timed_jobs.pop(job, None)
 
-    # Another process goes on with what this one did (handover/state.py).
+    # Handover: another process takes over the jobs and connections of this one (handover/state.py).
 
     def all_jobs(self) -> list[_Job]:
-        """Everything on its way."""
+        """All jobs that have not ended."""
         return [*self._jobs.values(), *self.timed_jobs]
 
     def set_paused(self, on: bool) -> None:
-        """Open no connection while on: what waits for one is begun anew by whoever goes on."""
+        """While paused, open no connection.  Waiting jobs start again in the process that takes over."""
         self._paused = on
         if not on:
             waiting, self._waiting = self._waiting, []
             for job in waiting:
-                self._begin(job)
+                self._dispatch(job)
 
     def restore_job(
         self,
@@ -272,32 +283,35 @@
         id_: str,
         number: int,
         data: bytes,
-        began: float,
-        until: float,
+        started_s: float,
+        deadline_s: float,
         streamed: bool,
     ) -> _Job:
-        """A job that another process had."""
+        """Recreate a job taken over from another process."""
         if kind == "run":
-            return self._run_job(worker, id_, number, data, began, streamed)
+            return self._run_job(worker, id_, number, data, started_s, streamed)
         if kind == "order":
-            return self._order_job(worker, number, data, began, until)
-        return self._ask_job(worker, data, began, until)
+            return self._order_job(worker, number, data, started_s, deadline_s)
+        return self._probe_job(worker, data, started_s, deadline_s)
+
+    def resume_job(self, job: _Job, connection: _Connection, unsent: bytes, received: bytes) -> None:
+        """Continue a job on the connection that carries it.
 
-    def resume_job(self, job: _Job, connection: _Connection, unsent: bytes, raw: bytes) -> None:
-        """Its request has been written, at least in part, on this connection; so much of its answer has
-        come."""
+        At least a part of its request has been written there, and `received` is what of its answer has come.
+        """
         connection.job, job.connection, job.written = job, connection, True
-        connection.raw += raw
+        connection.received += received
         if unsent:
             connection.stream.write(unsent)
-        for message in connection.parser.feed(raw):  # less than a whole answer, or it would have ended there
-            assert isinstance(message, Begun)
+        for message in connection.parser.feed(received):  # never a whole answer: the job would have ended
+            assert isinstance(message, MessageStarted)
         task = asyncio.ensure_future(connection.read())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _begin(self, job: _Job) -> None:
-        if job.over:
+    def _dispatch(self, job: _Job) -> None:
+        """Send a job over an idle connection, or open one within the limit."""
+        if job.done:
             return
         if self._paused:
             self._waiting.append(job)
@@ -309,9 +323,10 @@
                 self._write(job, connection)
                 return
         if worker.open >= self.max_connections:
-            # Told on a later turn: the engine is in the middle of its outputs.  Full, as the bound is ours:
-            # after a failed connection the module forgets the copies there and takes it for a starting one.
-            self._loop.add_callback(self.end, job, _End(None, Status.FULL, Ran.NEVER))
+            # Reported in a later loop iteration, as the engine is processing its outputs right now.  FULL and
+            # not CONNECT_FAILED, as the limit is ours: after a failed connection the module forgets the
+            # worker's copies and takes the worker for a starting one.
+            self._loop.add_callback(self.finish, job, _JobResult(None, Status.FULL, Ran.NEVER))
             return
         worker.open += 1
         task = asyncio.ensure_future(self._connect(job, worker))
@@ -324,12 +339,12 @@
             stream = await asyncio.wait_for(self._client.connect(host, int(port)), self._bounds.connect_s)
         except (OSError, ValueError, StreamClosedError, TimeoutError):
             worker.open -= 1
-            self._tidy(job.worker)
-            self.end(job, _End(None, Status.CONNECT_FAILED, Ran.NEVER))
+            self._forget_if_unused(job.worker)
+            self.finish(job, _JobResult(None, Status.CONNECT_FAILED, Ran.NEVER))
             return
         stream.set_nodelay(True)
         connection = _Connection(self, job.worker, stream, self._bounds.answer)
-        if job.over:  # given up while the connection was opened: keep it for the next
+        if job.done:  # abandoned while the connection was opened: keep it for the next job
             self.release(connection)
         elif self._paused:  # nothing may be written now
             self._waiting.append(job)
@@ -340,82 +355,84 @@
 
     def _write(self, job: _Job, connection: _Connection) -> None:
         connection.job, job.connection = job, connection
-        connection.raw.clear()
+        connection.received.clear()
         try:
             connection.stream.write(job.data)
         except (StreamClosedError, StreamBufferFullError):
-            # Nothing was handed over: the stream knew that it was closed.  The reader ends the job.
+            # No byte went to the kernel, as the stream knew that it was closed.  `read` ends the job.
             return
         job.written = True
 
-    def _stop(self, job: _Job, status: Status) -> None:
-        if job.over:
+    def _cancel(self, job: _Job, status: Status) -> None:
+        if job.done:
             return
         connection = job.connection
-        end = _End(None, status, Ran.MAYBE) if job.written else _End(None, Status.MOOT, Ran.NEVER)
+        result = (
+            _JobResult(None, status, Ran.MAYBE) if job.written else _JobResult(None, Status.MOOT, Ran.NEVER)
+        )
         if connection:
             connection.job = None
             connection.stream.close()
-        self.end(job, end)
+        self.finish(job, result)
 
-    def end(self, job: _Job, end: _End) -> None:
-        """A job has ended, once."""
-        if not job.over:
-            job.over = True
-            job.ended(end)
+    def finish(self, job: _Job, result: _JobResult) -> None:
+        """Report the result of a job, unless it has ended already."""
+        if not job.done:
+            job.done = True
+            job.on_end(result)
 
     def release(self, connection: _Connection) -> None:
-        """A connection is free again."""
+        """Return a connection to the pool."""
         worker = self._workers.setdefault(connection.worker, _Worker())
-        connection.job, connection.since = None, time.monotonic()
+        connection.job, connection.idle_since_s = None, time.monotonic()
         if len(worker.idle) < self._bounds.idle and worker.open <= self.max_connections:
             worker.idle.append(connection)
         else:
             connection.stream.close()
 
-    def limit_connections(self, most: int) -> None:
-        """So many connections to one worker from now on, one at least; unused ones beyond it are closed."""
-        self.max_connections = max(1, min(most, self._bounds.connections))
+    def limit_connections(self, limit: int) -> None:
+        """Set the limit of connections to one worker, at least 1; idle connections above it are closed."""
+        self.max_connections = max(1, min(limit, self._bounds.connections))
         for worker in self._workers.values():
             for _ in range(min(worker.open - self.max_connections, len(worker.idle))):
                 worker.idle.pop().stream.close()
 
-    def closed(self, connection: _Connection, status: Status, too_large: bool) -> None:
-        """A connection has ended; so has the job on it."""
+    def connection_closed(self, connection: _Connection, status: Status, too_large: bool) -> None:
+        """A connection has ended, and with it the job that it carried."""
         connection.stream.close()
         worker = self._workers.get(connection.worker)
         if worker:
             worker.open -= 1
             if connection in worker.idle:
                 worker.idle.remove(connection)
-            self._tidy(connection.worker)
+            self._forget_if_unused(connection.worker)
         job, connection.job = connection.job, None
         if job and job.written:
-            self.end(job, _End(None, status, Ran.MAYBE, too_large))
+            self.finish(job, _JobResult(None, status, Ran.MAYBE, too_large))
         elif job:
-            self.end(job, _End(None, Status.CONNECT_FAILED, Ran.NEVER))
+            self.finish(job, _JobResult(None, Status.CONNECT_FAILED, Ran.NEVER))
 
-    def _tidy(self, name: str) -> None:
+    def _forget_if_unused(self, name: str) -> None:
         worker = self._workers.get(name)
         if worker and not worker.open:
             del self._workers[name]
 
     def sweep(self) -> None:
-        """Close what was not used for long."""
-        before = time.monotonic() - IDLE_S
+        """Close connections that have been idle for `IDLE_TIMEOUT_S`."""
+        before = time.monotonic() - IDLE_TIMEOUT_S
         for worker in list(self._workers.values()):
-            for connection in [c for c in worker.idle if c.since < before]:
+            for connection in [c for c in worker.idle if c.idle_since_s < before]:
                 connection.stream.close()
 
     def sizes(self) -> dict[str, int]:
-        """What stands now."""
+        """Numbers of open connections and of attempts in flight, by the names in the metrics."""
         return {
             "worker_connections": sum(worker.open for worker in self._workers.values()),
             "worker_jobs": len(self._jobs),
         }
 
     def close(self) -> None:
-        """End everything."""
+        """Cancel all tasks and close all idle connections."""
         for task in list(self._tasks):
             task.cancel()
         for worker in list(self._workers.values()):
--- a/swiftwell/workers/protocol.py
+++ b/swiftwell/workers/protocol.py
@@ -1,5 +1,7 @@
-"""The worker protocol: what a request to a worker says, and what its answer proves.  No I/O;
-docs/worker-protocol.md."""
+"""The HTTP worker protocol: requests to workers, and what their answers prove (docs/worker-protocol.md).
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +14,12 @@
 from swiftwell.interface import Status
 from swiftwell.workers.verdict import Verdict
 
-NO_FUNCTION = "-"  # a question that is about the worker and no function
-_FOUND = {"warm": 1, "loaded": 2, "waited": 3}
+NO_FUNCTION = "-"  # the function name of a query about the worker itself
+_COPY_STATES = {"warm": 1, "loaded": 2, "waited": 3}
 
 
-def run(gateway: str, worker: str, id_: str, number: int, left_us: int, trigger: Trigger) -> Request:
-    """The request that runs a call.  Names are percent-encoded: they come from publishers."""
+def run_request(gateway: str, worker: str, id_: str, number: int, left_us: int, trigger: Trigger) -> Request:
+    """The request that runs a call.  Names are percent-encoded, as publishers choose them."""
     headers = {
         "host": worker,
         "swiftwell-gateway": gateway,
@@ -33,8 +35,10 @@
     return Request("POST", "/run/" + quote(trigger.function, safe="/"), headers, trigger.payload)
 
 
-def hold(gateway: str, worker: str, function: str, copies: int, memory_mb: float, lanes: int) -> Request:
-    """The order to hold so many copies of a function; with 0 copies it only asks how many stand."""
+def load_request(
+    gateway: str, worker: str, function: str, copies: int, memory_mb: float, lanes: int
+) -> Request:
+    """The order to load this many copies of a function; with 0, a query for the number of copies."""
     headers = {"host": worker, "swiftwell-gateway": gateway}
     target = "/copies/" + quote(function, safe="/")
     if not copies:
@@ -56,33 +60,34 @@
 
 
 def started_ms(response: Response) -> float:
-    """The start that a worker says of itself; 0 where it says none."""
+    """When the worker reports that it started; 0 where it reports nothing."""
     return _number(response, "swiftwell-started-ms", 0.0)
 
 
-def ran(response: Response) -> Verdict:
-    """What the answer to `run` proves.
+def run_verdict(response: Response) -> Verdict:
+    """What the response to a run request proves.
 
-    Only the worker's own word, `swiftwell-verdict`, says that it did not run: a plain 503 may come from
-    anything on
-    the way.  Reports that can't be read count as untold.
+    Only the worker's own header, `swiftwell-verdict`, proves that the call did not run: a plain 503 may come
+    from any intermediary.  Reports that can't be parsed count as absent.
     """
     verdict = response.headers.get("swiftwell-verdict", "")
-    held = _number(response, "swiftwell-held", -1.0)
-    crowd = int(_number(response, "swiftwell-crowd", 0))
+    calls_held = _number(response, "swiftwell-held", -1.0)
+    calls_waiting = int(_number(response, "swiftwell-crowd", 0))
     start = started_ms(response)
     if response.status == 200:
-        found = _FOUND.get(response.headers.get("swiftwell-found", ""), 0)
-        return Verdict(Status.OK, Ran.YES, found, crowd, held, verdict == "draining", start)
+        copy_state = _COPY_STATES.get(response.headers.get("swiftwell-found", ""), 0)
+        return Verdict(
+            Status.OK, Ran.YES, copy_state, calls_waiting, calls_held, verdict == "draining", start
+        )
     if response.status == 503 and verdict in ("full", "draining"):
-        return Verdict(Status.FULL, Ran.NEVER, 0, crowd, held, verdict == "draining", start)
+        return Verdict(Status.FULL, Ran.NEVER, 0, calls_waiting, calls_held, verdict == "draining", start)
     if response.status == 404 and verdict == "miss":
-        return Verdict(Status.MISS, Ran.NEVER, 0, crowd, held, False, start)
-    return Verdict(Status.ERROR, Ran.MAYBE, 0, crowd, held, verdict == "draining", start)
+        return Verdict(Status.MISS, Ran.NEVER, 0, calls_waiting, calls_held, False, start)
+    return Verdict(Status.ERROR, Ran.MAYBE, 0, calls_waiting, calls_held, verdict == "draining", start)
 
 
-def held(response: Response) -> tuple[Status, int, bool]:
-    """What the answer to `hold` says: status, copies that stand, whether the worker drains."""
+def load_result(response: Response) -> tuple[Status, int, bool]:
+    """The response to a load request: status, number of copies, whether the worker drains."""
     draining = response.headers.get("swiftwell-verdict", "") == "draining"
     if response.status == 200:
         try:
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -97,7 +97,13 @@
 
         def answered(answer: Answer) -> None:
             v = codec.verdict(answer[1], answer[2])
-            end(v.status, v.ran, answer[3] if v.status is Status.OK else b"", v.found, v.crowd)
+            end(
+                v.status,
+                v.ran,
+                answer[3] if v.status is Status.OK else b"",
+                v.copy_state,
+                v.function_calls_waiting,
+            )
 
         id_ = trigger.key.encode()
         until_us = (act.at_us or int(began * 1e6)) + act.left_us
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -20,7 +20,7 @@
     link = link or Link(
         "gw", bounds or LinkBounds(connect_s=0.3, answer=1_000), ends.append, lambda *a, **k: None
     )
-    link._put = ends.append
+    link._enqueue = ends.append
     link.start(ports.Start("c1", number, address, trigger(), 1_000_000))
     if abandon_after is not None:
         await asyncio.sleep(abandon_after)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -55,12 +55,17 @@
 )  # fmt: skip
 def test_what_an_answer_proves(word, status, ran):
     verdict = codec.verdict(word, b"why=shared_init,rivals=3")
-    assert (verdict.status, verdict.ran, verdict.found, verdict.crowd) == (status, ran, 3, 3)
+    assert (verdict.status, verdict.ran, verdict.copy_state, verdict.function_calls_waiting) == (
+        status,
+        ran,
+        3,
+        3,
+    )
 
 
 def test_a_load_that_failed_is_told_to_the_module():
     v = codec.verdict(b"BROKE", b"why=init_error,rivals=2")
-    assert (v.status, v.ran, v.found, v.crowd) == (Status.ERROR, Ran.MAYBE, 4, 2)
+    assert (v.status, v.ran, v.copy_state, v.function_calls_waiting) == (Status.ERROR, Ran.MAYBE, 4, 2)
 
 
 @pytest.mark.parametrize(
