--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -31,7 +31,7 @@
 from swiftwell.platform.startup import opened, started
 from swiftwell.settings import platform as config
 from swiftwell.settings.platform import ConfigError, Platform
-from swiftwell.workers.resp.link import ORDER_S, RespBounds, RespLink
+from swiftwell.workers.resp.link import ORDER_TIMEOUT_S, RespBounds, RespLink
 
 MARGIN_US = 5_000  # us kept back of each request's time for the answer's way to the client
 QUIET_S = 0.005  # s between looks at what a stopping router owes; it ends once two in a row find nothing
@@ -56,7 +56,7 @@
         self.addresses = journal.Addresses()
         self._start_times, self._starting = StartTimes(self.clock.started_us), True
         # No order is forgotten before the engine stops waiting: loads may take longer than the link's bound.
-        order_s = max(ORDER_S, settings.order_timeout_us / 1e6)
+        order_s = max(ORDER_TIMEOUT_S, settings.order_timeout_us / 1e6)
         bounds = RespBounds(
             share.workers, platform.streams, platform.dial_us / 1e6, platform.idle_us / 1e6, order_s
         )
--- a/swiftwell/workers/resp/__init__.py
+++ b/swiftwell/workers/resp/__init__.py
@@ -1,1 +1,1 @@
-"""Workers that speak RESP: codec, connections of many requests, the link."""
+"""The RESP link to workers: the codec, connections that carry several requests at a time, and the link."""
--- a/swiftwell/workers/resp/codec.py
+++ b/swiftwell/workers/resp/codec.py
@@ -1,6 +1,6 @@
-"""Commands to workers and their answers: RESP arrays of bulk strings, and what an answer proves.  No I/O.
+"""Commands to workers and their answers as RESP arrays of bulk strings, and what an answer proves.  No I/O.
 
-Every length is bounded before memory is taken for it.
+Every length is checked against its limit before memory is allocated for it.
 """
 
 from __future__ import annotations
@@ -9,175 +9,183 @@
 from swiftwell.interface import Status
 from swiftwell.workers.verdict import Verdict
 
-MOST_ID, MOST_WORD, MOST_FIELDS = 64, 16, 1_024  # bytes; ids have 16, words 5, fields some dozens
-MOST_BODY = 262_144  # bytes of an answer's body: sixteen times what a request's may have
-MOST_LINE = 10  # bytes of a count or a length with its mark
-PARTS = 4  # id, word, fields, body
-_MOST = (MOST_ID, MOST_WORD, MOST_FIELDS, MOST_BODY)
+# Bytes; ids have 16, result words 5, fields a few dozen.
+MAX_ID_BYTES, MAX_RESULT_BYTES, MAX_FIELDS_BYTES = 64, 16, 1_024
+MAX_BODY_BYTES = 262_144  # 16 times the limit of a request body
+MAX_LENGTH_LINE_BYTES = 10  # a count or a length with its type byte
+ANSWER_STRINGS = 4  # id, result, fields, body
+_MAX_STRING_BYTES = (MAX_ID_BYTES, MAX_RESULT_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES)
 
 Answer = tuple[bytes, bytes, bytes, bytes]
 
 
 class RespError(ValueError):
-    """Bytes that are no answer: the connection can't be trusted any more."""
+    """Bytes that are not a valid answer; the connection must be closed."""
 
 
-def command(*words: bytes) -> bytes:
-    """One array of bulk strings."""
-    parts = [b"*%d\r\n" % len(words)]
-    for word in words:
-        parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
+def encode(*arguments: bytes) -> bytes:
+    """Encode a command as an array of bulk strings."""
+    parts = [b"*%d\r\n" % len(arguments)]
+    for argument in arguments:
+        parts.append(b"$%d\r\n%b\r\n" % (len(argument), argument))
     return b"".join(parts)
 
 
 class Parser:
-    """Bytes in, whole answers out.
+    """Incremental parser of answers.
 
-    >>> Parser().feed(command(b"7", b"DONE", b"-", b"body"))
+    >>> Parser().feed(encode(b"7", b"DONE", b"-", b"body"))
     [(b'7', b'DONE', b'-', b'body')]
     """
 
     def __init__(self) -> None:
-        self._rest = bytearray()
-        self._need = 0  # so many bytes must stand before it is worth looking again
-        self._error: RespError | None = None  # what follows the answers that were given out
+        self._buffer = bytearray()
+        self._needed = 0  # bytes that must be buffered before parsing can get any further
+        self._error: RespError | None = None  # found behind the answers last returned
 
     def feed(self, data: bytes) -> list[Answer]:
-        """Raises RespError, but not for bytes behind whole answers: these count, and `check` tells it."""
+        """Return the answers that are now whole.
+
+        Raises RespError on invalid bytes.  If valid answers precede them, these are returned first, and
+        `check` raises the error.
+        """
         self.check()
-        self._rest += data
-        if len(self._rest) < self._need:
+        self._buffer += data
+        if len(self._buffer) < self._needed:
             return []
-        whole, at, found = bytes(self._rest), 0, []
+        buffered, at, answers = bytes(self._buffer), 0, []
         try:
-            while at < len(whole):
-                one = self._one(whole, at)
-                if one is None:
+            while at < len(buffered):
+                parsed = self._parse_answer(buffered, at)
+                if parsed is None:
                     break
-                at = one[1]
-                found.append(one[0])
+                at = parsed[1]
+                answers.append(parsed[0])
         except RespError as error:
-            if not found:
+            if not answers:
                 raise
             self._error = error
         if at:
-            del self._rest[:at]
-            self._need = max(0, self._need - at)
-        return found
+            del self._buffer[:at]
+            self._needed = max(0, self._needed - at)
+        return answers
 
     def check(self) -> None:
-        """Raises the RespError of bytes that came behind the answers last given."""
+        """Raise the RespError found behind the answers last returned, if any."""
         if self._error is not None:
             raise self._error
 
-    def _one(self, whole: bytes, at: int) -> tuple[Answer, int] | None:
-        """The answer that begins there and its end; None while it is not whole."""
-        size, at_parts = self._line(whole, at, b"*")
-        if at_parts < 0:
+    def _parse_answer(self, buffered: bytes, at: int) -> tuple[Answer, int] | None:
+        """The answer that starts at `at`, and its end; None while it is incomplete."""
+        size, strings_at = self._parse_length(buffered, at, b"*")
+        if strings_at < 0:
             return None
-        if size != PARTS:
-            raise RespError(f"an array of {size}")
-        return self._parts(whole, at_parts)
-
-    def _parts(self, whole: bytes, at: int) -> tuple[Answer, int] | None:
-        parts = []
-        for most in _MOST:
-            size, begin = self._line(whole, at, b"$")
+        if size != ANSWER_STRINGS:
+            raise RespError(f"array of {size} elements, expected {ANSWER_STRINGS}")
+        return self._parse_strings(buffered, strings_at)
+
+    def _parse_strings(self, buffered: bytes, at: int) -> tuple[Answer, int] | None:
+        strings = []
+        for limit in _MAX_STRING_BYTES:
+            size, begin = self._parse_length(buffered, at, b"$")
             if begin < 0:
                 return None
-            if size > most:
-                raise RespError(f"a string of {size} bytes")
+            if size > limit:
+                raise RespError(f"bulk string of {size} bytes, limit {limit}")
             at = begin + size + 2
-            if at > len(whole):
-                self._need = at
+            if at > len(buffered):
+                self._needed = at
                 return None
-            if whole[at - 2 : at] != b"\r\n":
-                raise RespError("a string that does not end where it said")
-            parts.append(whole[begin : at - 2])
-        return tuple(parts), at  # type: ignore[return-value]
-
-    def _line(self, whole: bytes, at: int, mark: bytes) -> tuple[int, int]:
-        """A count or a length and where it ends; -1 there while it is not whole."""
-        if whole[at : at + 1] not in (mark, b""):
-            raise RespError(f"{whole[at : at + 1]!r} where {mark!r} was due")
-        end = whole.find(b"\r\n", at, at + MOST_LINE + 2)
+            if buffered[at - 2 : at] != b"\r\n":
+                raise RespError("bulk string does not end where its length says")
+            strings.append(buffered[begin : at - 2])
+        return tuple(strings), at  # type: ignore[return-value]
+
+    def _parse_length(self, buffered: bytes, at: int, type_byte: bytes) -> tuple[int, int]:
+        """A count or a length, and where its line ends: -1 while the line is incomplete."""
+        if buffered[at : at + 1] not in (type_byte, b""):
+            raise RespError(f"got {buffered[at : at + 1]!r}, expected {type_byte!r}")
+        end = buffered.find(b"\r\n", at, at + MAX_LENGTH_LINE_BYTES + 2)
         if end < 0:
-            if len(whole) - at > MOST_LINE + 1:
-                raise RespError("a line that does not end")
-            self._need = len(whole) + 1
+            if len(buffered) - at > MAX_LENGTH_LINE_BYTES + 1:
+                raise RespError("length line without an end")
+            self._needed = len(buffered) + 1
             return 0, -1
-        digits = whole[at + 1 : end]
-        if not digits.isdigit():  # no sign, no space: bytes.isdigit knows ASCII alone
-            raise RespError(f"a length {digits!r}")
+        digits = buffered[at + 1 : end]
+        if not digits.isdigit():  # rejects signs and spaces; bytes.isdigit accepts only ASCII digits
+            raise RespError(f"malformed length {digits!r}")
         return int(digits), end + 2
 
 
-_ENDS = {
+_RESULTS = {
     b"DONE": (Status.OK, Ran.YES),
     b"LACK": (Status.MISS, Ran.NEVER),
     b"WAIT": (Status.FULL, Ran.NEVER),
     b"BROKE": (Status.ERROR, Ran.MAYBE),
     b"PAST": (Status.MOOT, Ran.NEVER),
 }
-_FOUND = {b"reused": 1, b"init": 2, b"shared_init": 3, b"init_error": 4}
+_COPY_STATES = {b"reused": 1, b"init": 2, b"shared_init": 3, b"init_error": 4}
 
 
-def fields(text: bytes) -> dict[bytes, bytes]:
-    """`name=value,name=value`, or `-`; raises RespError."""
+def parse_fields(text: bytes) -> dict[bytes, bytes]:
+    """Parse `name=value,name=value`, or `-` for no fields; raises RespError."""
     if text == b"-":
         return {}
-    found = {}
+    fields = {}
     for part in text.split(b","):
         name, sign, value = part.partition(b"=")
         if not sign or not name:
-            raise RespError(f"fields {text[:40]!r}")
-        found[name] = value
-    return found
+            raise RespError(f"malformed fields {text[:40]!r}")
+        fields[name] = value
+    return fields
 
 
-def count(found: dict[bytes, bytes], name: bytes) -> int:
-    """A whole number of the fields, 0 where it is not told; raises RespError."""
-    text = found.get(name, b"0")
+def parse_count(fields: dict[bytes, bytes], name: bytes) -> int:
+    """A whole number among the fields, 0 if absent; raises RespError."""
+    text = fields.get(name, b"0")
     if not text.isdigit() or len(text) > 9:
-        raise RespError(f"{name!r} is {text[:40]!r}")
+        raise RespError(f"malformed field {name!r}: {text[:40]!r}")
     return int(text)
 
 
-def verdict(word: bytes, text: bytes) -> Verdict:
-    """What an answer to FN proves; raises RespError where it can't be one."""
-    end = _ENDS.get(word)
-    if end is None:
-        raise RespError(f"the word {word!r}")
-    told = fields(text)
-    return Verdict(*end, _FOUND.get(told.get(b"why", b""), 0), count(told, b"rivals"))
+def run_verdict(result: bytes, text: bytes) -> Verdict:
+    """What an answer to FN proves; raises RespError if it is not a valid answer."""
+    outcome = _RESULTS.get(result)
+    if outcome is None:
+        raise RespError(f"unknown result {result!r}")
+    fields = parse_fields(text)
+    return Verdict(*outcome, _COPY_STATES.get(fields.get(b"why", b""), 0), parse_count(fields, b"rivals"))
+
 
+def load_result(result: bytes, text: bytes) -> tuple[Status, int]:
+    """The answer to SPAWN: the status of the load order, and the number of copies at the worker."""
+    outcome = _RESULTS.get(result)
+    if outcome is None or outcome[0] not in (Status.OK, Status.FULL, Status.ERROR):
+        raise RespError(f"unexpected result {result!r} of a load order")
+    return outcome[0], parse_count(parse_fields(text), b"instances")
 
-def stands(word: bytes, text: bytes) -> tuple[Status, int]:
-    """What an answer to SPAWN says: how the order ended, and the copies that stand."""
-    end = _ENDS.get(word)
-    if end is None or end[0] not in (Status.OK, Status.FULL, Status.ERROR):
-        raise RespError(f"the word {word!r} to an order")
-    return end[0], count(fields(text), b"instances")
 
+def run_command(id_: bytes, band: str, function: str, left_us: int, body: bytes, token: str = "") -> bytes:
+    """The command that runs a call.
 
-def run(id_: bytes, band: str, function: str, left_us: int, body: bytes, token: str = "") -> bytes:
-    """The command that runs a call; `token`: under which the worker's group drops repeats of a keyed one."""
-    told = b"lane=%b,name=%b,ttl=%d" % (band.encode(), function.encode(), max(1, -(-left_us // 1_000)))
+    `token`: under which the worker's group drops repeats of a keyed call.
+    """
+    fields = b"lane=%b,name=%b,ttl=%d" % (band.encode(), function.encode(), max(1, -(-left_us // 1_000)))
     if token:
-        told += b",dedupe=%b" % token.encode()
-    return command(b"FN", id_, told, body)
+        fields += b",dedupe=%b" % token.encode()
+    return encode(b"FN", id_, fields, body)
 
 
-def kill(id_: bytes) -> bytes:
-    """The command that gives a call up."""
-    return command(b"KILL", id_)
+def kill_command(id_: bytes) -> bytes:
+    """The command that cancels a call."""
+    return encode(b"KILL", id_)
 
 
-def hold(tag: bytes, function: str, copies: int) -> bytes:
-    """The order to hold so many copies; with 0 it only asks."""
-    return command(b"SPAWN", tag, b"name=%b,instances=%d" % (function.encode(), copies))
+def load_command(tag: bytes, function: str, copies: int) -> bytes:
+    """The order to load this many copies; with 0, a query for the number of copies."""
+    return encode(b"SPAWN", tag, b"name=%b,instances=%d" % (function.encode(), copies))
 
 
-def hello(tag: bytes) -> bytes:
-    """The question whether a connection works."""
-    return command(b"HELO", tag)
+def hello_command(tag: bytes) -> bytes:
+    """The command that checks whether a connection works."""
+    return encode(b"HELO", tag)
--- a/swiftwell/workers/resp/connection.py
+++ b/swiftwell/workers/resp/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a worker, with many requests on it at a time."""
+"""One connection to a worker, which carries several requests at a time."""
 
 from __future__ import annotations
 
@@ -17,279 +17,286 @@
 from swiftwell.workers.resp import codec
 from swiftwell.workers.resp.codec import Answer, Parser, RespError
 
-READ_BYTES = 16_384  # bytes taken in at once: an answer has some hundreds
-MOST_UNSENT = 1 << 20  # bytes that may wait for a worker that does not read
-FRESH_S = 0.01  # s for which leave to send stands: a turn that is not held up takes a few ms
-AGAIN_S = 0.01  # s until a connection whose kernel buffer is full is tried again
-KEEP_ALIVE_TAG = b"alive"  # of questions whether a connection works: no request's id has its form
-MOST_KNOWN = 256  # ids remembered, so that a late answer is no other attempt's: some seconds' worth
+READ_BYTES = 16_384  # per read; an answer has some hundred bytes
+MAX_UNSENT_BYTES = 1 << 20  # buffered for a worker that does not read
+PERMISSION_VALID_S = 0.01  # then checked again; a loop iteration that is not delayed takes a few ms
+WRITE_RETRY_S = 0.01  # until a connection whose kernel buffer is full is tried again
+KEEP_ALIVE_TAG = b"alive"  # tag of keep-alive commands; no request id has this form
+# Ids remembered, some seconds' worth, so that a late answer is not taken for that of another attempt.
+MAX_KNOWN_IDS = 256
 
 
 @dataclass(slots=True, eq=False)
-class Handover:
-    """When a job's bytes were handed to the kernel; apart from the job, so that who asks forms no cycle."""
+class SendTime:
+    """When a job's bytes were handed to the kernel.
 
-    at_us: int = 0  # monotonic; 0 while they were not
+    Separate from the job, so that callbacks that read it form no reference cycle with the job.
+    """
+
+    at_us: int = 0  # monotonic; 0 before that
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An attempt or an order on its way."""
+    """An attempt or a load order on its way to a worker."""
 
     worker: str
-    id: bytes  # or the tag
+    id: bytes  # of an attempt, or the tag of a load order
     data: bytes
-    answered: Callable[[Answer], None]  # raises RespError on an answer that can't be one
-    ended: Callable[[Status, Ran], None]  # without an answer
-    gives_up: bool  # whether the worker can be told that it is given up
-    again: Callable[[float], bytes]  # its bytes if it may still go at a time, monotonic s; else none
-    asks: bool = False  # a question: also for a worker that drains
+    on_answer: Callable[[Answer], None]  # raises RespError if the answer is invalid
+    on_end: Callable[[Status, Ran], None]  # called if the job ends without an answer
+    cancellable: bool  # the worker can be told that the job is abandoned
+    encode_again: Callable[[float], bytes]  # its bytes at a time, monotonic s; none if its time is up
+    is_query: bool = False  # asks for the number of copies; also sent to a draining worker
     connection: Connection | None = None
     written: bool = False
     moved: bool = False  # its first connection ended before anything was written
-    over: bool = False
-    waited: bool = False  # its leave to send is of an earlier turn
-    began: float = 0.0  # monotonic s
-    put: float = 0.0  # monotonic s at which it was put on its connection, with leave to send
-    handover: Handover = field(default_factory=Handover)
+    done: bool = False
+    delayed: bool = False  # permission to send was obtained in an earlier loop iteration
+    started_s: float = 0.0  # monotonic
+    queued_s: float = 0.0  # monotonic; when it was put on its connection, with permission to send
+    send_time: SendTime = field(default_factory=SendTime)
 
-    def needs_leave(self, data: bytes, fresh: float) -> bool:
-        """Whether its leave is older than `fresh`, monotonic s, or it had no time left when it was put."""
-        return self.waited or self.put < fresh or not data
+    def needs_check(self, data: bytes, valid_since_s: float) -> bool:
+        """Whether permission to send was obtained before `valid_since_s`, or no time was left by then."""
+        return self.delayed or self.queued_s < valid_since_s or not data
 
 
 class Owner(Protocol):
-    """The link, as a connection sees it."""
+    """The link, as its connections see it."""
 
-    def closed(self, connection: Connection, why: str, jobs: list[Job]) -> None:
-        """A connection has ended; these were on it.  `why` where its bytes were spoilt."""
+    def connection_closed(self, connection: Connection, protocol_error: str, jobs: list[Job]) -> None:
+        """A connection has ended with these jobs; `protocol_error` is set if it received invalid bytes."""
 
-    def dirty(self, connection: Connection) -> None:
-        """Something is to be written at the end of the turn."""
+    def schedule_flush(self, connection: Connection) -> None:
+        """The connection has data to write at the end of this loop iteration."""
 
-    def reaches(self, connection: Connection) -> bool:
-        """Whether a connection still leads to its worker."""
+    def address_is_current(self, connection: Connection) -> bool:
+        """Whether the connection's address is still that of its worker."""
         ...
 
-    def leave(self, connection: Connection) -> bool:
-        """Whether new work may still go to a connection's worker, and there."""
+    def may_send(self, connection: Connection) -> bool:
+        """Whether new work may still be sent to the connection's worker, at this address."""
         ...
 
-    def came_up(self, connection: Connection) -> None:
-        """A connection stands now."""
+    def connection_opened(self, connection: Connection) -> None:
+        """A connection has been established."""
 
 
 class Connection:
-    """Opened at once; what is put on it while it comes up is written then."""
+    """A connection that opens at once; what is queued meanwhile is written once it is established."""
 
     def __init__(self, owner: Owner, worker: str, address: tuple[str, int]) -> None:
         self.owner, self.worker, self.address = owner, worker, address
         self.jobs: dict[bytes, Job] = {}
-        self.known: dict[bytes, None] = {}
-        self.up = self.over = self.doubted = False
-        self.failure, self.reset = "", False  # what ended it, in the words of the socket
-        self.failed_here = False  # it did not come up for a reason of this machine's
-        # Whether it came up, or nothing is known of the process there: false where that did not answer.
-        self.opened: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.used, self.heard = time.monotonic(), 0.0  # heard: bytes of the worker's
+        self.known_ids: dict[bytes, None] = {}
+        self.established = self.closed = self.suspect = False
+        self.failure, self.reset = "", False  # the socket error that ended it
+        self.failed_locally = False  # it was not established for a reason on this machine
+        # Result of connecting: true if established, or if nothing is known of the process at the address;
+        # false if that process did not answer.
+        self.connect_result: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.last_used_s, self.last_received_s = time.monotonic(), 0.0
         self._parser = Parser()
-        self._out: list[tuple[bytes, Job | None]] = []  # what waits to be written, and whose request it is
-        self._blocked = False  # the kernel took no more: what waits is tried again later
-        self._closed = False
-        self._stream: TcpStream | None = None  # until a socket is had
+        self._output: list[tuple[bytes, Job | None]] = []  # bytes to be written, and the job they belong to
+        self._blocked = False  # the kernel buffer is full: writing is tried again later
+        self._close_requested = False
+        self._stream: TcpStream | None = None  # None until a socket could be created
         with suppress(OSError):
             self._stream = self._new_stream()
 
     async def run(self, connect_s: float) -> None:
         """Connect, and read until the connection ends."""
-        why = ""
+        protocol_error = ""
         try:
             await self._connect(time.monotonic() + connect_s)
             self._stream.set_nodelay(True)
-            self.up = True
-            self.opened.set_result(True)
-            self.owner.came_up(self)
-            self.owner.dirty(self)
+            self.established = True
+            self.connect_result.set_result(True)
+            self.owner.connection_opened(self)
+            self.owner.schedule_flush(self)
             while True:
                 data = await self._stream.read_bytes(READ_BYTES, partial=True)
-                self.heard, self.doubted = time.monotonic(), False
+                self.last_received_s, self.suspect = time.monotonic(), False
                 for answer in self._parser.feed(data):
                     self._answer(answer)
                 self._parser.check()
         except (OSError, TimeoutError, StreamClosedError) as error:
-            self._failed(error)
+            self._record_failure(error)
         except RespError as error:
-            why = str(error)
-        except Exception as error:  # no end of it may go unseen: its jobs are ended below, the cause is told
-            why = f"{type(error).__name__}: {error}"
+            protocol_error = str(error)
+        except Exception as error:  # any error must end the jobs below and be logged
+            protocol_error = f"{type(error).__name__}: {error}"
         finally:
-            self._end(why)
+            self._end(protocol_error)
 
-    async def _connect(self, until: float) -> None:
-        """Come up by then, monotonic s.  What fails for a reason of this machine's is tried again."""
+    async def _connect(self, deadline_s: float) -> None:
+        """Connect before `deadline_s`, monotonic.  Retries failures caused on this machine."""
         while True:
             try:
-                if self._closed:
+                if self._close_requested:
                     raise StreamClosedError
                 if self._stream is None or self._stream.closed():
                     self._stream = self._new_stream()
-                async with asyncio.timeout(max(0.0, until - time.monotonic())):
+                async with asyncio.timeout(max(0.0, deadline_s - time.monotonic())):
                     await self._stream.connect(self.address)
                 return
             except (OSError, StreamClosedError) as error:
-                if not is_local(cause_of(error)) or time.monotonic() + RETRY_S >= until:
+                if not is_local(cause_of(error)) or time.monotonic() + RETRY_S >= deadline_s:
                     raise
             await asyncio.sleep(RETRY_S)
 
     @staticmethod
     def _new_stream() -> TcpStream:
         return TcpStream(
-            max_buffer_size=READ_BYTES * 4, read_chunk_size=READ_BYTES, max_write_buffer_size=MOST_UNSENT
+            max_buffer_size=READ_BYTES * 4, read_chunk_size=READ_BYTES, max_write_buffer_size=MAX_UNSENT_BYTES
         )
 
-    def _failed(self, error: BaseException) -> None:
-        """Remember what ended it, in words: the error itself refers to the frame of `run`."""
+    def _record_failure(self, error: BaseException) -> None:
+        """Keep the error as text only, as the exception refers to the frame of `run`."""
         cause = cause_of(error)
         self.failure, self.reset = repr(cause), isinstance(cause, ConnectionResetError)
-        self.failed_here = not self.up and is_local(cause)
+        self.failed_locally = not self.established and is_local(cause)
 
-    def put(self, job: Job) -> None:
-        """A job goes out at the end of this turn, or once the connection is up."""
+    def add(self, job: Job) -> None:
+        """Queue a job, to be written at the end of this loop iteration or once connected."""
         job.connection = self
-        self.used = job.put = time.monotonic()
+        self.last_used_s = job.queued_s = time.monotonic()
         self.jobs[job.id] = job
-        self.known[job.id] = None
-        if len(self.known) > MOST_KNOWN:
-            # Never one that is open: a second attempt under its id would take its place here.
-            oldest = next((one for one in self.known if one not in self.jobs), None)
+        self.known_ids[job.id] = None
+        if len(self.known_ids) > MAX_KNOWN_IDS:
+            # Never an open id: a second attempt under it would replace the first one in `jobs`.
+            oldest = next((known_id for known_id in self.known_ids if known_id not in self.jobs), None)
             if oldest is not None:
-                del self.known[oldest]
-        job.waited |= not self.up or self._blocked
-        self._out.append((job.data, job))
-        if self.up:
-            self.owner.dirty(self)
+                del self.known_ids[oldest]
+        job.delayed |= not self.established or self._blocked
+        self._output.append((job.data, job))
+        if self.established:
+            self.owner.schedule_flush(self)
 
     def flush(self) -> None:
-        """Hand what was gathered to the kernel, in one write, and know how far that came.
+        """Write the queued output to the kernel in one call, and record how much of it was taken.
 
-        What the kernel does not take stays here and not in the stream's buffer, where nothing could be taken
-        back: a worker that stands still and wakes would run what its clients gave up long ago.  Only the
-        command that is cut in two goes to the stream, as the worker has its first half already.
+        What the kernel does not take stays in `_output` and not in the stream's buffer, from which nothing
+        can be withdrawn: a worker that stalls and resumes would run calls that their clients gave up long
+        ago.  Only the rest of a command that was cut in two goes to the stream's buffer, as the worker has
+        its first part already.
         """
-        if self.over or not self.up or self._blocked or not self._out or self._stream.closed():
+        if self.closed or not self.established or self._blocked or not self._output or self._stream.closed():
             return
-        out = self._leave()
-        whole = b"".join([data for data, _ in out])
-        if not whole:
+        output = self._take_permitted()
+        joined = b"".join([data for data, _ in output])
+        if not joined:
             return
         sent_us = time.monotonic_ns() // 1_000
         try:
-            sent = self._stream.write_to_fd(memoryview(whole))
+            sent = self._stream.write_to_fd(memoryview(joined))
         except BlockingIOError:
             sent = 0
-        except OSError:  # nothing was handed over
+        except OSError:  # the kernel took nothing
             self._stream.close(exc_info=True)
             return
-        if sent < len(whole):
-            self._keep(out, sent)
-        for data, job in out:
+        if sent < len(joined):
+            self._keep_unsent(output, sent)
+        for data, job in output:
             if sent <= 0:
                 break
             sent -= len(data)
             if job is not None:
-                job.written, job.handover.at_us = True, sent_us
+                job.written, job.send_time.at_us = True, sent_us
 
-    def _leave(self) -> list[tuple[bytes, Job | None]]:
-        """What may go out now: the last look at the worker's state, on every path to the kernel.
+    def _take_permitted(self) -> list[tuple[bytes, Job | None]]:
+        """Take the output that may be sent now; jobs that may not are ended.
 
-        While a connection came up, or was full, or our own turn took long, the worker may have begun to
-        drain, have gone, or have left its address to another, or the proof that it serves may have run out;
-        for a command that is not fresh, so may its time.
+        This is the last check of the worker's state, on every path to the kernel.  While a connection was
+        being opened, its kernel buffer was full or this process was slow, the worker may have begun to drain,
+        have left or have lost its address to another worker, or its lease may have expired; the time of a
+        command that waited may be up.
         """
-        found, self._out = self._out, []
+        queued, self._output = self._output, []
         now = time.monotonic()
-        fresh = now - FRESH_S
-        leave, reaches, out = self.owner.leave(self), self.owner.reaches(self), []
-        for data, job in found:
+        valid_since_s = now - PERMISSION_VALID_S
+        may_send, reachable, permitted = self.owner.may_send(self), self.owner.address_is_current(self), []
+        for data, job in queued:
             if job is not None:
-                allowed = reaches if job.asks else leave
+                allowed = reachable if job.is_query else may_send
                 if not allowed:
                     data = b""
-                elif job.needs_leave(data, fresh):
-                    data = job.again(now)
+                elif job.needs_check(data, valid_since_s):
+                    data = job.encode_again(now)
                 if not data:
                     del self.jobs[job.id]
-                    job.over, job.connection = True, None
-                    job.ended(Status.MOOT, Ran.NEVER)
+                    job.done, job.connection = True, None
+                    job.on_end(Status.MOOT, Ran.NEVER)
                     continue
-            out.append((data, job))
-        return out
+            permitted.append((data, job))
+        return permitted
 
-    def _keep(self, out: list[tuple[bytes, Job | None]], sent: int) -> None:
-        """The kernel took only so many bytes."""
+    def _keep_unsent(self, output: list[tuple[bytes, Job | None]], sent: int) -> None:
+        """The kernel took only the first `sent` bytes: queue the rest again."""
         self._blocked = True
-        cut, gone = sent, 0  # bytes of the one that is cut, and how many went whole
-        while cut >= len(out[gone][0]):
-            cut -= len(out[gone][0])
-            gone += 1
-        rest = out[gone + (cut > 0) :]
-        for _, job in rest:
+        cut, complete = sent, 0  # bytes sent of the command that is cut, and number of those sent whole
+        while cut >= len(output[complete][0]):
+            cut -= len(output[complete][0])
+            complete += 1
+        unsent = output[complete + (cut > 0) :]
+        for _, job in unsent:
             if job is not None:
-                job.waited = True
-        self._out = rest + self._out
+                job.delayed = True
+        self._output = unsent + self._output
         if cut:
             try:
-                self._stream.write(out[gone][0][cut:]).add_done_callback(self._unblock)
+                self._stream.write(output[complete][0][cut:]).add_done_callback(self._unblock)
             except (StreamClosedError, StreamBufferFullError):
                 self._stream.close()
         else:
-            asyncio.get_running_loop().call_later(AGAIN_S, self._unblock)
+            asyncio.get_running_loop().call_later(WRITE_RETRY_S, self._unblock)
 
-    def _unblock(self, written: asyncio.Future[None] | None = None) -> None:
-        if written is not None and not written.cancelled():
-            written.exception()  # the stream's end is the reader's matter
+    def _unblock(self, write: asyncio.Future[None] | None = None) -> None:
+        if write is not None and not write.cancelled():
+            write.exception()  # marks it as retrieved; `run` handles the end of the stream
         self._blocked = False
-        if not self.over:
-            self.owner.dirty(self)
+        if not self.closed:
+            self.owner.schedule_flush(self)
 
     def _answer(self, answer: Answer) -> None:
         job = self.jobs.get(answer[0])
         if job is None:
-            return  # late, a second copy, or nobody's: passed over
-        job.answered(answer)
+            return  # late, repeated or of an unknown id
+        job.on_answer(answer)
         del self.jobs[answer[0]]
-        job.over, self.used = True, self.heard
+        job.done, self.last_used_s = True, self.last_received_s
 
     def keep_alive(self) -> None:
-        """Have the worker answer, so that neither end takes the connection for unused."""
-        self.used = time.monotonic()
-        self._out.append((codec.hello(KEEP_ALIVE_TAG), None))
-        self.owner.dirty(self)
+        """Make the worker answer, so that neither end closes the connection as unused."""
+        self.last_used_s = time.monotonic()
+        self._output.append((codec.hello_command(KEEP_ALIVE_TAG), None))
+        self.owner.schedule_flush(self)
 
-    def give_up(self, job: Job) -> None:
-        """Nothing more is wanted of a job."""
+    def abandon(self, job: Job) -> None:
+        """Stop waiting for a job: withdraw it if it is unwritten, else tell the worker."""
         del self.jobs[job.id]
         if not job.written:
-            self._out = [one for one in self._out if one[1] is not job]
+            self._output = [entry for entry in self._output if entry[1] is not job]
             return
-        if self.heard < job.began:
-            self.doubted = True  # silent ever since it was sent: nothing new goes here
-        if self.doubted and not self.jobs:
-            self.close()  # which gives it up as well
-        elif job.gives_up:
-            self._out.append((codec.kill(job.id), None))
-            self.owner.dirty(self)
+        if self.last_received_s < job.started_s:
+            self.suspect = True  # nothing received since the job was sent: no new job goes here
+        if self.suspect and not self.jobs:
+            self.close()  # which also tells the worker
+        elif job.cancellable:
+            self._output.append((codec.kill_command(job.id), None))
+            self.owner.schedule_flush(self)
 
     def close(self) -> None:
-        """End the connection."""
-        self._closed = True
+        """Close the connection; `run` ends its jobs."""
+        self._close_requested = True
         if self._stream is not None:
             self._stream.close()
 
-    def _end(self, why: str) -> None:
-        self.over = True
+    def _end(self, protocol_error: str) -> None:
+        self.closed = True
         self.close()
-        if not self.opened.done():
-            self.opened.set_result(self.failed_here)
-        jobs, self.jobs, self._out = list(self.jobs.values()), {}, []
-        self.owner.closed(self, why, jobs)
+        if not self.connect_result.done():
+            self.connect_result.set_result(self.failed_locally)
+        jobs, self.jobs, self._output = list(self.jobs.values()), {}, []
+        self.owner.connection_closed(self, protocol_error, jobs)
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -1,8 +1,8 @@
-"""The link to workers that speak RESP: the seam of workers/link, over connections of many requests.
+"""The RESP link to workers: the interface of `workers/link`, over connections that carry several requests.
 
-Requests are spread over several connections, as a connection that ends takes along what is on it; but each
-costs its worker a handshake, so further ones are earned by requests.  An attempt never goes where its id is
-known already, so that no late answer is taken for its own.
+Requests are spread over several connections, as a connection that ends takes all its requests along.  As each
+connection costs its worker a handshake, requests earn credit for further ones.  An attempt never goes to a
+connection that knows its id already, so that no late answer is taken for its own.
 """
 
 from __future__ import annotations
@@ -17,14 +17,16 @@
 from swiftwell.interface import Status
 from swiftwell.workers.resp import codec
 from swiftwell.workers.resp.codec import Answer
-from swiftwell.workers.resp.connection import Connection, Handover, Job
+from swiftwell.workers.resp.connection import Connection, Job, SendTime
 
-IDLE_PART = 0.7  # of the time after which a worker closes an unused connection: ours go well before
-ORDER_S = 10.0  # s until an order is forgotten here, where the settings tell no time or a shorter one
-LEAST_EACH = 2  # connections to a worker, whatever the descriptors: one may be silent
-MOST_EACH = 24  # connections to a worker: more than the attempts that the module lets out to one
-EARNED = 0.05  # further connections a request earns: a handshake is a thousandth of twenty calls' work
-MOST_EARNED = 64.0  # further connections saved up: a wave of resets may take all of a busy worker's
+IDLE_CLOSE_SHARE = 0.7  # of the time after which a worker closes an unused connection: we close well before
+ORDER_TIMEOUT_S = 10.0  # for load orders, where the settings give no time or a shorter one
+MIN_CONNECTIONS_EACH = 2  # to a worker, however few descriptors there are: one connection may be silent
+MAX_CONNECTIONS_EACH = 24  # to a worker: more than the attempts that the module sends to one at a time
+CREDIT_PER_REQUEST = (
+    0.05  # further connections a request earns: a handshake is a thousandth of 20 calls' work
+)
+MAX_CREDIT = 64.0  # further connections saved up: a wave of resets may end all connections to a busy worker
 
 
 def _now_us() -> int:
@@ -33,187 +35,234 @@
 
 @dataclass(frozen=True, slots=True)
 class RespBounds:
-    """What the link allows."""
+    """Limits of the link."""
 
     connections: int  # to all workers
     streams: int = 32  # requests on a connection
     connect_s: float = 0.25
     idle_s: float = 30.0
-    order_s: float = ORDER_S
+    order_s: float = ORDER_TIMEOUT_S
 
 
 @dataclass(slots=True, eq=False)
 class _Worker:
     connections: list[Connection] = field(default_factory=list)
-    judging: Connection | None = None  # shows whether the process lives
+    liveness_check: Connection | None = None  # a connection opened to learn whether the process lives
     removed: bool = False
 
 
 class RespLink:
     """All connections to workers.
 
-    `address` says where a worker is; `put` takes what happened to the engine; `ready` says whether new work
-    may still go to a worker by the list, `serves` whether it is proven not to drain; `wake` sees to it that
-    `flush` is called soon, also where the engine has nothing to do; `keeps_alive` says whether each worker's
-    last connection is to be kept, as it shows that the process is the same; `stands` hears of connections.
+    `address` looks up a worker's address; `enqueue` passes results to the engine; `ready` says whether new
+    work may still go to a worker by the worker list, `serves` whether its lease proves that it does not
+    drain; `wake` ensures that `flush` is called soon, also if the engine has nothing to do; `keeps_alive`
+    says whether the last connection to each worker is kept, as it proves that the process is the same;
+    `on_change` is told of each connection opened or closed.
     """
 
     def __init__(
         self,
         bounds: RespBounds,
         address: Callable[[str], tuple[str, int] | None],
-        put: Callable[[ports.Input], None],
+        enqueue: Callable[[ports.Input], None],
         log: Callable[..., None],
         ready: Callable[[str], bool] = lambda worker: True,
         wake: Callable[[], None] | None = None,
         serves: Callable[[str], bool] = lambda worker: True,
         keeps_alive: Callable[[], bool] = lambda: False,
-        stands: Callable[[ports.WorkerConnected | ports.WorkerDisconnected], None] = lambda given: None,
+        on_change: Callable[[ports.WorkerConnected | ports.WorkerDisconnected], None] = lambda change: None,
     ) -> None:
-        self._bounds, self._address, self._put, self._log, self._ready = bounds, address, put, log, ready
+        self._bounds, self._address, self._enqueue, self._log, self._ready = (
+            bounds,
+            address,
+            enqueue,
+            log,
+            ready,
+        )
         self._wake = wake or self._flush_soon
-        self._serves, self._keeps_alive, self._stands = serves, keeps_alive, stands
+        self._serves, self._keeps_alive, self._on_change = serves, keeps_alive, on_change
         self._workers: dict[str, _Worker] = {}
         self._jobs: dict[tuple[str, int], Job] = {}
         self._orders: dict[int, Job] = {}
-        self._dirty: dict[Connection, None] = {}
+        self._unflushed: dict[Connection, None] = {}
         self._tasks: set[asyncio.Task] = set()
         self.open, self._closed = 0, False
-        self._earned = 0.0  # connections that may be opened beside one of the same worker that would do
+        self._credit = 0.0  # connections that may be opened although another one to the worker could be used
         self.counts = dict.fromkeys(("opened", "spoilt", "ended", "refused", "kept_alive"), 0)
 
-    # What the engine wants.
+    # Outputs of the engine.
 
     def start(self, act: ports.Start) -> None:
-        """Begin an attempt; its wire id is the client's own."""
-        key, trigger, began = (act.id, act.number), act.trigger, time.monotonic()
-        handover = Handover()
+        """Start an attempt; its id on the wire is the client's own."""
+        key, trigger, started_s = (act.id, act.number), act.trigger, time.monotonic()
+        send_time = SendTime()
 
-        def end(status: Status, ran: Ran, body: bytes = b"", found: int = 0, crowd: int = 0) -> None:
+        def on_end(
+            status: Status, ran: Ran, body: bytes = b"", copy_state: int = 0, calls_waiting: int = 0
+        ) -> None:
             self._jobs.pop(key, None)
-            latency = int((time.monotonic() - began) * 1e6)
-            ended = (act.id, act.number, status, ran, body, latency, found, crowd)
-            self._put(ports.AttemptEnd(*ended, sent_us=handover.at_us))
-
-        def answered(answer: Answer) -> None:
-            v = codec.verdict(answer[1], answer[2])
-            end(
-                v.status,
-                v.ran,
-                answer[3] if v.status is Status.OK else b"",
-                v.copy_state,
-                v.function_calls_waiting,
+            latency = int((time.monotonic() - started_s) * 1e6)
+            values = (act.id, act.number, status, ran, body, latency, copy_state, calls_waiting)
+            self._enqueue(ports.AttemptEnd(*values, sent_us=send_time.at_us))
+
+        def on_answer(answer: Answer) -> None:
+            verdict = codec.run_verdict(answer[1], answer[2])
+            on_end(
+                verdict.status,
+                verdict.ran,
+                answer[3] if verdict.status is Status.OK else b"",
+                verdict.copy_state,
+                verdict.function_calls_waiting,
             )
 
         id_ = trigger.key.encode()
-        until_us = (act.at_us or int(began * 1e6)) + act.left_us
+        deadline_us = (act.at_us or int(started_s * 1e6)) + act.left_us
 
-        def words(now_s: float) -> bytes:
+        def encode(now_s: float) -> bytes:
             now_us = int(now_s * 1e6)
-            left = until_us - now_us
-            if left <= 0 or (act.by_us and now_us >= act.by_us):
+            left_us = deadline_us - now_us
+            if left_us <= 0 or (act.by_us and now_us >= act.by_us):
                 return b""
-            return codec.run(id_, trigger.band, trigger.function, left, trigger.payload, trigger.token)
+            return codec.run_command(
+                id_, trigger.band, trigger.function, left_us, trigger.payload, trigger.token
+            )
 
-        job = Job(act.worker, id_, words(began), answered, end, True, words, began=began, handover=handover)
+        job = Job(
+            act.worker,
+            id_,
+            encode(started_s),
+            on_answer,
+            on_end,
+            True,
+            encode,
+            started_s=started_s,
+            send_time=send_time,
+        )
         self._jobs[key] = job
-        self._begin(job)
+        self._dispatch(job)
 
     def abandon(self, act: ports.Abandon) -> None:
         """Stop waiting for an attempt."""
         job = self._jobs.get((act.id, act.number))
-        if job is None:  # whatever became of it, its call must not wait for ever
-            self._put(ports.AttemptEnd(act.id, act.number, act.status, Ran.MAYBE))
-        elif not job.over:
-            self._give_up(job)
-            job.ended(*((act.status, Ran.MAYBE) if job.written else (Status.MOOT, Ran.NEVER)))
+        if job is None:  # the engine waits for this attempt's end in any case
+            self._enqueue(ports.AttemptEnd(act.id, act.number, act.status, Ran.MAYBE))
+        elif not job.done:
+            self._abandon(job)
+            job.on_end(*((act.status, Ran.MAYBE) if job.written else (Status.MOOT, Ran.NEVER)))
 
     def withdraw(self, act: ports.Withdraw) -> None:
-        """Take back an attempt that waits for a connection, or for its worker to be judged."""
+        """Take back an attempt that waits for a connection, or for a liveness check of its worker."""
         job = self._jobs.get((act.id, act.number))
-        if job and not job.over and not job.written:
-            self._give_up(job)
-            job.ended(Status.MOOT, Ran.NEVER)
+        if job and not job.done and not job.written:
+            self._abandon(job)
+            job.on_end(Status.MOOT, Ran.NEVER)
 
     def recall(self, act: ports.Recall) -> None:
-        """Forget an order: its time is up in the engine's books, where it has ended."""
+        """Forget a load order that the engine has timed out."""
         job = self._orders.pop(act.number, None)
-        if job and not job.over:
-            self._give_up(job)
+        if job and not job.done:
+            self._abandon(job)
 
     def order(self, act: ports.Order) -> None:
-        """Send an order to load, or a question."""
-        number, began, handover = act.number, time.monotonic(), Handover()
+        """Send a load order, or a query for the number of copies."""
+        number, started_s, send_time = act.number, time.monotonic(), SendTime()
 
-        def end(status: Status, ran: Ran, copies: int = 0, heard: bool = False) -> None:
+        def on_end(status: Status, ran: Ran, copies: int = 0, answered: bool = False) -> None:
             self._orders.pop(number, None)
-            latency = int((time.monotonic() - began) * 1e6)
-            self._put(ports.OrderEnd(number, status, copies, latency, answered=heard, sent_us=handover.at_us))
+            latency = int((time.monotonic() - started_s) * 1e6)
+            self._enqueue(
+                ports.OrderEnd(number, status, copies, latency, answered=answered, sent_us=send_time.at_us)
+            )
 
-        def answered(answer: Answer) -> None:
-            status, copies = codec.stands(answer[1], answer[2])
-            end(status, Ran.YES, copies, True)
+        def on_answer(answer: Answer) -> None:
+            status, copies = codec.load_result(answer[1], answer[2])
+            on_end(status, Ran.YES, copies, True)
 
         tag = b"o%d" % number
-        data = codec.hold(tag, act.function, act.copies)
-        resend, asks = lambda now_s: data, not act.copies
-        job = Job(act.worker, tag, data, answered, end, False, resend, asks, began=began, handover=handover)
+        data = codec.load_command(tag, act.function, act.copies)
+        encode, is_query = lambda now_s: data, not act.copies
+        job = Job(
+            act.worker,
+            tag,
+            data,
+            on_answer,
+            on_end,
+            False,
+            encode,
+            is_query,
+            started_s=started_s,
+            send_time=send_time,
+        )
         self._orders[number] = job
-        self._begin(job)
+        self._dispatch(job)
 
     @staticmethod
-    def _give_up(job: Job) -> None:
-        """Nothing more is wanted of a job; it may be on no connection, while its worker is judged."""
-        job.over = True
+    def _abandon(job: Job) -> None:
+        """Stop waiting for a job, which has no connection while its worker's liveness is checked."""
+        job.done = True
         if job.connection:
-            job.connection.give_up(job)
+            job.connection.abandon(job)
 
     def probe(self, act: ports.Ask) -> None:
-        """Nobody is asked here: there is no saved list to check."""
-        self._put(ports.Asked(act.worker, False))
+        """Not supported here, as there is no saved worker list to check: report the probe as unanswered."""
+        self._enqueue(ports.Asked(act.worker, False))
 
     # Connections.
 
-    def _begin(self, job: Job) -> None:
+    def _dispatch(self, job: Job) -> None:
         worker = self._workers.setdefault(job.worker, _Worker())
         if worker.removed and self._address(job.worker):
-            worker.removed = False  # listed again: else each sweep closed what it had just opened
-        self._earned = min(MOST_EARNED, self._earned + EARNED)
+            worker.removed = False  # listed again: else each sweep would close its new connections
+        self._credit = min(MAX_CREDIT, self._credit + CREDIT_PER_REQUEST)
         connection = self._pick(job, worker)
         if connection is None:
             self.counts["refused"] += 1
-            job.over = True
-            # A want of connections is our own, and tells nothing of the worker.
-            known = self._address(job.worker) is not None
-            job.ended(Status.MOOT if known else Status.CONNECT_FAILED, Ran.NEVER)
+            job.done = True
+            # A lack of connections is our own, and says nothing about the worker.
+            listed = self._address(job.worker) is not None
+            job.on_end(Status.MOOT if listed else Status.CONNECT_FAILED, Ran.NEVER)
         else:
-            connection.put(job)
+            connection.add(job)
 
     def _pick(self, job: Job, worker: _Worker) -> Connection | None:
-        """The connection with the least on it; a new one sooner than a second request on one, if earned.
+        """The least loaded connection; with enough credit, a new one rather than a busy one.
 
-        A router of hundreds with some calls a second opens few: each had its own for every call at work, and
-        all together two handshakes for three calls.
+        Without the credit, routers of a large fleet with a few calls per second each opened a connection for
+        every concurrent call, which made two handshakes for three calls.
         """
         address, best = self._address(job.worker), None
-        for one in worker.connections:
-            usable = not one.over and not one.doubted and one.address == address and job.id not in one.known
+        for connection in worker.connections:
+            usable = (
+                not connection.closed
+                and not connection.suspect
+                and connection.address == address
+                and job.id not in connection.known_ids
+            )
             if (
                 usable
-                and len(one.jobs) < self._bounds.streams
-                and (best is None or (len(one.jobs), not one.up) < (len(best.jobs), not best.up))
+                and len(connection.jobs) < self._bounds.streams
+                and (
+                    best is None
+                    or (len(connection.jobs), not connection.established)
+                    < (len(best.jobs), not best.established)
+                )
             ):
-                best = one
+                best = connection
         if best is not None and not best.jobs:
             return best
-        if address is not None and (best is None or self._earned >= 1) and self._room(worker):
-            self._earned -= best is not None
+        if address is not None and (best is None or self._credit >= 1) and self._may_open(worker):
+            self._credit -= best is not None
             return self._open(job.worker, worker, address)
         return best
 
-    def _room(self, worker: _Worker) -> bool:
-        each = max(LEAST_EACH, min(MOST_EACH, self._bounds.connections // max(1, len(self._workers))))
-        return len(worker.connections) < each and self.open < self._bounds.connections
+    def _may_open(self, worker: _Worker) -> bool:
+        """Whether the limits allow another connection to a worker."""
+        limit_each = max(
+            MIN_CONNECTIONS_EACH,
+            min(MAX_CONNECTIONS_EACH, self._bounds.connections // max(1, len(self._workers))),
+        )
+        return len(worker.connections) < limit_each and self.open < self._bounds.connections
 
     def _open(self, name: str, worker: _Worker, address: tuple[str, int]) -> Connection:
         connection = Connection(self, name, address)
@@ -225,18 +274,18 @@
         task.add_done_callback(self._tasks.discard)
         return connection
 
-    def closed(self, connection: Connection, why: str, jobs: list[Job]) -> None:
-        """A connection has ended."""
+    def connection_closed(self, connection: Connection, protocol_error: str, jobs: list[Job]) -> None:
+        """A connection has ended: end its jobs or move them to another connection."""
         self.open -= 1
-        self.counts["spoilt" if why else "ended"] += 1
-        if why:
-            self._log("warning", "bad-answer", worker=connection.worker, why=why)
-        self._dirty.pop(connection, None)
+        self.counts["spoilt" if protocol_error else "ended"] += 1
+        if protocol_error:
+            self._log("warning", "bad-answer", worker=connection.worker, why=protocol_error)
+        self._unflushed.pop(connection, None)
         worker = self._workers.get(connection.worker)
         if worker:
             worker.connections.remove(connection)
-            if connection.up:
-                self._stands(ports.WorkerDisconnected(connection.worker, _now_us()))
+            if connection.established:
+                self._on_change(ports.WorkerDisconnected(connection.worker, _now_us()))
             if worker.removed and not worker.connections:
                 del self._workers[connection.worker]
         for job in jobs:
@@ -244,88 +293,96 @@
         if self._closed:
             return
         if jobs:
-            why_ended = why or connection.failure
-            self._log("info", "connection-ended", worker=connection.worker, why=why_ended, requests=len(jobs))
-        if why:
-            self._lost(jobs, lives=True)
-        elif connection.failed_here:
+            reason = protocol_error or connection.failure
+            self._log("info", "connection-ended", worker=connection.worker, why=reason, requests=len(jobs))
+        if protocol_error:
+            self._connection_lost(jobs, alive=True)
+        elif connection.failed_locally:
             self._log("warning", "cannot-connect", worker=connection.worker, why=connection.failure)
-            self._never_sent(jobs)
-        elif not connection.up and not connection.reset:  # refused, or nobody there
+            self._end_unsent(jobs)
+        elif not connection.established and not connection.reset:  # refused, or no host at the address
             self._log("info", "connect-failed", worker=connection.worker, why=connection.failure)
-            self._lost(jobs, lives=False)
+            self._connection_lost(jobs, alive=False)
         elif jobs:
-            self._judge(connection.worker, jobs)
+            self._check_liveness(connection.worker, jobs)
 
-    def _judge(self, name: str, jobs: list[Job]) -> None:
-        """Whether a process died or a connection broke: the module takes a reset for a start, cold for long.
+    def _check_liveness(self, name: str, jobs: list[Job]) -> None:
+        """Open a connection to learn whether the worker's process died, or only one of its connections.
 
-        All connections of a process that died are reset and new ones refused until it is started anew; where
-        one comes up at once the process lives, and only the attempts on the old one are lost.  One that is
-        reset while it comes up was accepted by somebody: it proves no more.
+        The distinction matters because the module takes a reset for a restart, and then takes the worker for
+        cold for a long time.  If the process died, all its connections are reset, and new ones are refused
+        until it is started again.  If a new one is established at once, the process lives and only the
+        attempts on the old connection are lost.  A connection that is reset while it is being opened was
+        accepted by some process, which proves no more.
         """
         worker, address = self._workers.get(name), self._address(name)
-        if worker and (worker.judging is None or worker.judging.opened.done()):  # an older one proves nothing
-            worker.judging = self._open(name, worker, address) if address and self._room(worker) else None
-        if worker and worker.judging:
-            worker.judging.opened.add_done_callback(lambda opened: self._lost(jobs, opened.result()))
+        # An earlier check that has its result proves nothing about now.
+        if worker and (worker.liveness_check is None or worker.liveness_check.connect_result.done()):
+            worker.liveness_check = (
+                self._open(name, worker, address) if address and self._may_open(worker) else None
+            )
+        if worker and worker.liveness_check:
+            worker.liveness_check.connect_result.add_done_callback(
+                lambda connected: self._connection_lost(jobs, connected.result())
+            )
         else:
-            self._lost(jobs, lives=address is not None)  # for want of room of ours nothing is known
+            # If our limits allow no connection, nothing is known of the worker: it counts as alive.
+            self._connection_lost(jobs, alive=address is not None)
 
-    def _lost(self, jobs: list[Job], lives: bool) -> None:
-        """Attempts whose connection ended; one of which nothing was written goes on where it can, once."""
+    def _connection_lost(self, jobs: list[Job], alive: bool) -> None:
+        """End the jobs of a lost connection; one that is unwritten goes to another connection, once."""
         for job in jobs:
-            if job.over:  # given up meanwhile
+            if job.done:  # abandoned meanwhile
                 continue
-            if lives and not job.written and not job.moved:
-                job.moved = job.waited = True
-                self._begin(job)
+            if alive and not job.written and not job.moved:
+                job.moved = job.delayed = True
+                self._dispatch(job)
                 continue
-            job.over = True
+            job.done = True
             if job.written:
-                job.ended(Status.ERROR if lives else Status.RESET, Ran.MAYBE)
+                job.on_end(Status.ERROR if alive else Status.RESET, Ran.MAYBE)
             else:
-                job.ended(Status.MOOT if lives else Status.CONNECT_FAILED, Ran.NEVER)
+                job.on_end(Status.MOOT if alive else Status.CONNECT_FAILED, Ran.NEVER)
 
     @staticmethod
-    def _never_sent(jobs: list[Job]) -> None:
-        """Attempts that could not go out for a reason of ours: no word against their worker."""
+    def _end_unsent(jobs: list[Job]) -> None:
+        """End jobs that could not be sent for a reason on this machine; that says nothing of the worker."""
         for job in jobs:
-            if not job.over:
-                job.over = True
-                job.ended(Status.MOOT, Ran.NEVER)
+            if not job.done:
+                job.done = True
+                job.on_end(Status.MOOT, Ran.NEVER)
 
-    def came_up(self, connection: Connection) -> None:
-        """A connection stands now."""
+    def connection_opened(self, connection: Connection) -> None:
+        """A connection has been established."""
         worker = self._workers.get(connection.worker)
         if worker:
-            self._stands(ports.WorkerConnected(connection.worker, _now_us()))
+            self._on_change(ports.WorkerConnected(connection.worker, _now_us()))
 
-    def reaches(self, connection: Connection) -> bool:
-        """Whether a connection still leads to its worker."""
+    def address_is_current(self, connection: Connection) -> bool:
+        """Whether the connection's address is still that of its worker."""
         return self._address(connection.worker) == connection.address
 
-    def leave(self, connection: Connection) -> bool:
-        """Whether new work may still go to a connection's worker, and there."""
+    def may_send(self, connection: Connection) -> bool:
+        """Whether new work may still be sent to the connection's worker, at this address."""
         worker = connection.worker
-        return self.reaches(connection) and self._ready(worker) and self._serves(worker)
+        return self.address_is_current(connection) and self._ready(worker) and self._serves(worker)
 
-    def dirty(self, connection: Connection) -> None:
-        """Something is to be written at the end of the turn, which need not be one of the engine's."""
-        self._dirty[connection] = None
+    def schedule_flush(self, connection: Connection) -> None:
+        """The connection has data to write; the loop iteration at hand need not be one of the engine's."""
+        self._unflushed[connection] = None
         self._wake()
 
     def _flush_soon(self) -> None:
         asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """The end of a turn: one write for each connection that has something."""
-        dirty, self._dirty = self._dirty, {}
-        for connection in dirty:
+        """At the end of a loop iteration: one write on each connection that has output."""
+        unflushed, self._unflushed = self._unflushed, {}
+        for connection in unflushed:
             connection.flush()
 
     def worker_removed(self, worker_id: str) -> None:
-        """A worker has left the list: its connections go once nothing is on them."""
+        """A worker has left the list: its connections are closed once they are idle."""
         worker = self._workers.get(worker_id)
         if worker:
             worker.removed = True
@@ -333,33 +390,44 @@
                 del self._workers[worker_id]
 
     def sweep(self) -> None:
-        """Close what was not used for long or is of no use, and give up old orders."""
+        """Close connections that are idle for too long or useless, and time out old load orders."""
         now = time.monotonic()
         keeps_alive = self._keeps_alive()
         for name, worker in list(self._workers.items()):
             address = self._address(name)
             kept = self._keep_alive(worker, now) if keeps_alive and address else None
-            for one in list(worker.connections):
-                stale = one is not kept and one.used < now - IDLE_PART * self._bounds.idle_s
-                if not one.jobs and (stale or one.doubted or worker.removed or one.address != address):
-                    one.close()
+            for connection in list(worker.connections):
+                stale = (
+                    connection is not kept
+                    and connection.last_used_s < now - IDLE_CLOSE_SHARE * self._bounds.idle_s
+                )
+                if not connection.jobs and (
+                    stale or connection.suspect or worker.removed or connection.address != address
+                ):
+                    connection.close()
             if address is None and not worker.connections:
-                del self._workers[name]  # made anew by what was still on its way to one that had gone
-        for job in [job for job in self._orders.values() if job.began < now - self._bounds.order_s]:
-            self._give_up(job)
-            job.ended(Status.TIMEOUT, Ran.MAYBE)
+                del self._workers[name]  # created by a job that was dispatched after the worker had left
+        for job in [job for job in self._orders.values() if job.started_s < now - self._bounds.order_s]:
+            self._abandon(job)
+            job.on_end(Status.TIMEOUT, Ran.MAYBE)
 
     def _keep_alive(self, worker: _Worker, now: float) -> Connection | None:
-        """The one connection of a worker that is kept, by a word where it is not in use."""
-        standing = [one for one in worker.connections if one.up and not one.over and not one.doubted]
-        kept = max(standing, key=lambda one: (len(one.jobs), one.used), default=None)
-        if kept and not kept.jobs and kept.used < now - IDLE_PART / 2 * self._bounds.idle_s:
+        """Choose the connection of a worker that is kept, and send a keep-alive on it if it is idle."""
+        established = [
+            connection
+            for connection in worker.connections
+            if connection.established and not connection.closed and not connection.suspect
+        ]
+        kept = max(
+            established, key=lambda connection: (len(connection.jobs), connection.last_used_s), default=None
+        )
+        if kept and not kept.jobs and kept.last_used_s < now - IDLE_CLOSE_SHARE / 2 * self._bounds.idle_s:
             kept.keep_alive()
             self.counts["kept_alive"] += 1
         return kept
 
     def sizes(self) -> dict[str, int]:
-        """What stands now."""
+        """Sizes of the link's tables, by their names in the metrics."""
         return {
             "worker_connections": self.open,
             "worker_jobs": len(self._jobs),
@@ -368,7 +436,7 @@
         }
 
     def close(self) -> None:
-        """End everything; no worker is judged any more, as that would open connections anew."""
+        """End all connections, without liveness checks, as these would open new ones."""
         self._closed = True
         for task in list(self._tasks):
             task.cancel()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -190,7 +190,7 @@
 
             play.link._open = first_is_reset
             play.start()
-            await until(lambda: play.link._workers["w"].judging)
+            await until(lambda: play.link._workers["w"].liveness_check)
             play.link.withdraw(ports.Withdraw("c1", 0))
             assert [(end.status, end.ran) for end in play.told] == [(Status.MOOT, Ran.NEVER)]
             await gate.open()
@@ -215,8 +215,8 @@
             )
             node._listed(next(iter(_frames().feed(frame(2, 2, records)))))
             await gate.open()
-            await until(lambda: one.opened.done())
-            assert one.opened.result()  # it did come up, so the request could have gone
+            await until(lambda: one.connect_result.done())
+            assert one.connect_result.result()  # it did come up, so the request could have gone
             status, _, _ = await front.answer(1)
             assert status == 503 and not gate.runs()
 
@@ -251,7 +251,7 @@
             await until(lambda: not node.link._orders)
             (one,) = node.link._workers["s-00000001"].connections
             await gate.open()
-            await until(lambda: one.opened.done())
+            await until(lambda: one.connect_result.done())
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
             assert [words[0] for words in gate.got] == [b"FN"]
@@ -275,17 +275,17 @@
             router(tmp_path, [worker.port], settings=settings(**{"family-info": family})) as node,
         ):
             ends = []
-            node.link._put = lambda end: ends.append(end)
+            node.link._enqueue = lambda end: ends.append(end)
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: worker.got)
-            node.link._orders[9].began -= 20.0  # so long ago
+            node.link._orders[9].started_s -= 20.0  # so long ago
             node.link.sweep()
             assert not ends
             go.set()
             await until(lambda: ends)
             assert (ends[0].status, ends[0].copies) == (Status.OK, 1)
             node.link.order(ports.Order(10, "s-00000001", KEY, 1, 10.0, 1))
-            node.link._orders[10].began -= 26.0
+            node.link._orders[10].started_s -= 26.0
             node.link.sweep()
             assert (ends[1].number, ends[1].status) == (10, Status.TIMEOUT)
 
@@ -841,7 +841,7 @@
 
 
 def test_an_open_id_is_never_forgotten_on_its_connection(monkeypatch):
-    monkeypatch.setattr(rc, "MOST_KNOWN", 4)
+    monkeypatch.setattr(rc, "MAX_KNOWN_IDS", 4)
 
     async def main():
         async def holds_one(worker, writer, words):
@@ -855,7 +855,7 @@
                 play.start(f"c{number}", id_=id_(number))
                 await play.ends(number)
             (one,) = play.link._workers["w"].connections
-            assert ID.encode() in one.known and len(one.known) <= 5
+            assert ID.encode() in one.known_ids and len(one.known_ids) <= 5
             play.start("c0", id_=ID, number=1)  # a second attempt: no connection may carry both
             await play.ends(9)
             assert (play.told[-1].status, play.told[-1].ran) == (Status.MOOT, Ran.NEVER)
--- a/tests/test_left_clients.py
+++ b/tests/test_left_clients.py
@@ -108,7 +108,7 @@
             (one,) = node.link._workers["s-00000001"].connections
             one._blocked = True  # as if the kernel had taken no more
             sock.sendall(request(2, fields(id_(2), wait="6000")))
-            await until(lambda: node.link._jobs and one._out)
+            await until(lambda: node.link._jobs and one._output)
             asyncio.get_running_loop().call_later(STALL_S / 2, one._unblock)
             end(sock, "close")
             time.sleep(STALL_S)  # the timer has come due and the client's end waits
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -134,10 +134,10 @@
             play.start()
             await play.ends()
             (one,) = play.link._workers["w"].connections
-            one.used -= 0.69 * 30.0  # as if so much time had passed
+            one.last_used_s -= 0.69 * 30.0  # as if so much time had passed
             play.link.sweep()
             assert play.link.open == 1
-            one.used -= 0.02 * 30.0
+            one.last_used_s -= 0.02 * 30.0
             play.link.sweep()
             await until(lambda: play.link.open == 0)
             play.link.close()
@@ -152,14 +152,14 @@
         async with Worker(echo) as worker:
             play = Play({"w": worker.port}, idle_s=30.0)
             play.link._keeps_alive = lambda: True
-            play.link._earned = 2.0  # so that the second request has a connection of its own
+            play.link._credit = 2.0  # so that the second request has a connection of its own
             play.start()
             play.start(call="c2", id_=OTHER)
             await play.ends(2)
             connections = play.link._workers["w"].connections
             assert len(connections) == 2
             for one in connections:
-                one.used -= 0.71 * 30.0  # as if so much time had passed
+                one.last_used_s -= 0.71 * 30.0  # as if so much time had passed
             play.link.sweep()
             await until(lambda: play.link.open == 1)
             await until(lambda: worker.got[-1][0] == b"HELO")
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -14,7 +14,7 @@
 from swiftwell.gateway import ports
 from swiftwell.interface import Status
 from swiftwell.workers.resp import codec, connection
-from swiftwell.workers.resp.codec import MOST_BODY, Parser, RespError
+from swiftwell.workers.resp.codec import MAX_BODY_BYTES, Parser, RespError
 from swiftwell.workers.resp.link import RespBounds, RespLink
 
 ID, OTHER = "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"
@@ -36,14 +36,14 @@
         b"*4\r\n$-1\r\n", b"*4\r\n$+1\r\n", b"*4\r\n$65\r\n", b"*4\r\n:1\r\n", b"*4\r\n$1\r\nabc",
         b"*4\r\n$1\r\na\r\n$17\r\n", b"*4\r\n$1\r\na\r\n$1\r\nb\r\n$1025\r\n",
         b"*4\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\n-\r\n$3221225472\r\n", b"*" + b"4" * 20, b"$",
-        b"*4\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\n-\r\n$" + b"%d\r\n" % (MOST_BODY + 1),
+        b"*4\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\n-\r\n$" + b"%d\r\n" % (MAX_BODY_BYTES + 1),
     ],
 )  # fmt: skip
 def test_what_is_no_answer_is_an_error_before_memory_is_taken(data):
     parser = Parser()
     with pytest.raises(RespError):
         parser.feed(data)
-    assert len(parser._rest) <= len(data)
+    assert len(parser._buffer) <= len(data)
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
     ],
 )  # fmt: skip
 def test_what_an_answer_proves(word, status, ran):
-    verdict = codec.verdict(word, b"why=shared_init,rivals=3")
+    verdict = codec.run_verdict(word, b"why=shared_init,rivals=3")
     assert (verdict.status, verdict.ran, verdict.copy_state, verdict.function_calls_waiting) == (
         status,
         ran,
@@ -64,7 +64,7 @@
 
 
 def test_a_load_that_failed_is_told_to_the_module():
-    v = codec.verdict(b"BROKE", b"why=init_error,rivals=2")
+    v = codec.run_verdict(b"BROKE", b"why=init_error,rivals=2")
     assert (v.status, v.ran, v.copy_state, v.function_calls_waiting) == (Status.ERROR, Ran.MAYBE, 4, 2)
 
 
@@ -73,7 +73,7 @@
 )
 def test_an_answer_that_cannot_be_one_is_an_error(word, told):
     with pytest.raises(RespError):
-        codec.verdict(word, told)
+        codec.run_verdict(word, told)
 
 
 class Play:
@@ -108,13 +108,13 @@
             assert end.body == b"did " + bytes(range(256))
             word, id_, told, body = worker.got[0]
             assert (word, id_, body) == (b"FN", ID.encode(), bytes(range(256)))
-            found = codec.fields(told)
+            found = codec.parse_fields(told)
             # It waited for its connection: what is left is what was left, less that wait, and no more.
             assert 1000 - spent_ms <= int(found.pop(b"ttl")) <= 1000
             assert found == {b"lane": b"lectura", b"name": b"f"}
             play.start(call="c2", id_=OTHER)
             await play.ends(2)
-            assert codec.fields(worker.got[1][2])[b"ttl"] == b"1000"  # it did not wait: as it was told
+            assert codec.parse_fields(worker.got[1][2])[b"ttl"] == b"1000"  # it did not wait: as it was told
             play.link.close()
 
     run(main())
@@ -160,7 +160,7 @@
     async def main():
         async with Worker(reset) as worker:
             play = Play({"w": worker.port})
-            play.link._earned = 1.0  # each on a connection of its own
+            play.link._credit = 1.0  # each on a connection of its own
             play.start("c1")
             play.start("c2", id_="0" * 16)
             assert await play.ends(2) == [(Status.ERROR, Ran.MAYBE)] * 2
@@ -188,7 +188,7 @@
             play.link._open = first_is_reset
             play.start()
             assert await play.ends() == [(Status.OK, Ran.YES)]
-            assert failed[0].over and not failed[0].up and len(worker.got) == 1
+            assert failed[0].closed and not failed[0].established and len(worker.got) == 1
 
     async def _raise(error):
         raise error
@@ -201,11 +201,11 @@
         async with Worker(reset) as worker:
             play = Play({"w": worker.port})
             play.start()
-            pending = SimpleNamespace(opened=asyncio.get_running_loop().create_future(), over=False)
+            pending = SimpleNamespace(connect_result=asyncio.get_running_loop().create_future(), closed=False)
             play.link._open = lambda *_: pending
-            await until(lambda: play.link._workers["w"].judging)
+            await until(lambda: play.link._workers["w"].liveness_check)
             play.link.abandon(ports.Abandon("c1", 0, Status.TIMEOUT))
-            pending.opened.set_result(True)
+            pending.connect_result.set_result(True)
             await asyncio.sleep(0.05)
             assert await play.ends() == [(Status.TIMEOUT, Ran.MAYBE)]
 
@@ -346,9 +346,9 @@
             play = Play({"w": worker.port}, connections=3)
             play.start("c1")
             assert await play.ends() == [(Status.ERROR, Ran.MAYBE)]
-            judged = play.link._workers["w"].judging
-            assert judged.up and not judged.over
-            judged.doubted = True  # the next goes on a connection of its own
+            judged = play.link._workers["w"].liveness_check
+            assert judged.established and not judged.closed
+            judged.suspect = True  # the next goes on a connection of its own
             play.start("c2", id_="0" * 16)
             await play.ends(2)
             assert (play.told[1].status, play.told[1].ran) == (Status.RESET, Ran.MAYBE)
@@ -361,11 +361,11 @@
         async with Worker(reset) as worker:
             play = Play({"w": worker.port}, order_s=0.0)
             play.link.order(ports.Order(5, "w", "f", 2, 100.0, 1))
-            pending = SimpleNamespace(opened=asyncio.get_running_loop().create_future(), over=False)
+            pending = SimpleNamespace(connect_result=asyncio.get_running_loop().create_future(), closed=False)
             play.link._open = lambda *_: pending
-            await until(lambda: play.link._workers["w"].judging)
+            await until(lambda: play.link._workers["w"].liveness_check)
             play.link.sweep()
-            pending.opened.set_result(True)
+            pending.connect_result.set_result(True)
             await asyncio.sleep(0.05)
             assert [(end.number, end.status) for end in play.told] == [(5, Status.TIMEOUT)]
 
@@ -379,7 +379,7 @@
 
         async with Worker(never) as worker:
             play = Play({"w": worker.port}, connections=3)
-            play.link._earned = 7.0
+            play.link._credit = 7.0
             for number in range(7):
                 play.start(f"c{number}", id_=f"{number:016x}")
             await until(lambda: len(worker.got) == 7)
@@ -411,11 +411,11 @@
     async def main():
         async with Worker(echo) as worker:
             play = Play({"w": worker.port}, connections=1)
-            for number in range(connection.MOST_KNOWN + 20):
+            for number in range(connection.MAX_KNOWN_IDS + 20):
                 play.start(f"c{number}", id_=f"{number:016x}")
                 await play.ends(number + 1)
             (one,) = play.link._workers["w"].connections
-            assert len(one.known) == connection.MOST_KNOWN and not one.jobs
+            assert len(one.known_ids) == connection.MAX_KNOWN_IDS and not one.jobs
 
     run(main())
 
