--- a/swiftwell/fronts/amqp/consumer.py
+++ b/swiftwell/fronts/amqp/consumer.py
@@ -29,7 +29,7 @@
 from swiftwell.fronts.amqp.session import Blocked, ChannelEnded, Ended, Event, Login, Ready, Session
 from swiftwell.fronts.amqp.wire import Incoming
 from swiftwell.fronts.host import Host
-from swiftwell.fronts.reading import Freshness, Unreadable
+from swiftwell.fronts.message_reader import Freshness, Unreadable
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 from swiftwell.interface import Effect
 
--- a/swiftwell/fronts/amqp/contract.py
+++ b/swiftwell/fronts/amqp/contract.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from swiftwell.fronts.amqp.codec import Deliver, Properties
-from swiftwell.fronts.reading import FunctionHint, Message, Reader, Unreadable, address, numbers, told
+from swiftwell.fronts.message_reader import FunctionHint, Message, Reader, Unreadable, address, numbers, told
 from swiftwell.fronts.trigger import Answer, Trigger
 
 MOST_HEADERS = 64  # headers of a trigger
--- a/swiftwell/fronts/amqp/redelivery.py
+++ b/swiftwell/fronts/amqp/redelivery.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SLACK_US = 5_000_000  # us: twice what a publisher's clock may be off by (patience.MAX_SKEW_MS), and a second
+SLACK_US = 5_000_000  # us: twice the clock skew of publishers (time_budget.MAX_SKEW_MS) and a second
 
 
 class Redelivered(Enum):
--- a/swiftwell/fronts/reading.py
+++ b/swiftwell/fronts/message_reader.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from swiftwell.fronts.patience import Skew, Told, left_us
+from swiftwell.fronts.time_budget import Skew, Told, left_us
 from swiftwell.fronts.trigger import Answer, Trigger
 
 MOST_KEY = 200  # characters of a publisher's key
--- a/swiftwell/fronts/mqtt/contract.py
+++ b/swiftwell/fronts/mqtt/contract.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
+from swiftwell.fronts.message_reader import FunctionHint, Message, Reader, Unreadable, address, numbers
+from swiftwell.fronts.message_reader import told as said
 from swiftwell.fronts.mqtt.codec import V5, V311, Publish, Reason
-from swiftwell.fronts.reading import FunctionHint, Message, Reader, Unreadable, address, numbers
-from swiftwell.fronts.reading import told as said
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 
 
--- a/swiftwell/fronts/mqtt/peer.py
+++ b/swiftwell/fronts/mqtt/peer.py
@@ -19,12 +19,12 @@
 
 from swiftwell.fronts import trigger as tr
 from swiftwell.fronts.host import Host
+from swiftwell.fronts.message_reader import Freshness
 from swiftwell.fronts.mqtt import contract
 from swiftwell.fronts.mqtt.codec import Ack, Packet, Publish, Reason, Type, encode
 from swiftwell.fronts.mqtt.connection import Connection
 from swiftwell.fronts.mqtt.contract import Contract, Ref, Rejected
 from swiftwell.fronts.mqtt.session import Session
-from swiftwell.fronts.reading import Freshness
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 from swiftwell.interface import Effect
 
--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -68,7 +68,7 @@
 
 
 def trigger(origin: Origin, source: str, dup: bool, elsewhere: bool, alone: bool) -> Trigger:
-    """The trigger that a message becomes, as `fronts/reading.py` reads it, the publisher's clock known."""
+    """The trigger that a message becomes, as `fronts/message_reader.py` reads it; the clock is known."""
     message, gateway = origin.message, origin.gateway
     hint = gateway.plan.hint(message.function)
     left = message.patience_us - (gateway.world.now - message.sent_us)
--- a/swiftwell/settings/site.py
+++ b/swiftwell/settings/site.py
@@ -10,7 +10,7 @@
 
 from swiftwell import interface as io
 from swiftwell.fronts.amqp.redelivery import Redelivered
-from swiftwell.fronts.reading import FunctionHint
+from swiftwell.fronts.message_reader import FunctionHint
 from swiftwell.settings.document import Node, SettingsError, parse, text_of
 from swiftwell.settings.schema import Reader, setting
 
--- a/tests/test_amqp_decisions.py
+++ b/tests/test_amqp_decisions.py
@@ -13,8 +13,8 @@
 from swiftwell.fronts.amqp.redelivery import SLACK_US, Delivered, Redelivered, may_have_run
 from swiftwell.fronts.amqp.session import Blocked, ChannelEnded, Login, Ready
 from swiftwell.fronts.amqp.wire import Incoming, Wire
-from swiftwell.fronts.patience import Skew
-from swiftwell.fronts.reading import FunctionHint, Unreadable
+from swiftwell.fronts.message_reader import FunctionHint, Unreadable
+from swiftwell.fronts.time_budget import Skew
 from swiftwell.fronts.trigger import Answer, Kind
 from swiftwell.interface import Effect
 
--- a/tests/test_mqtt_session.py
+++ b/tests/test_mqtt_session.py
@@ -9,7 +9,7 @@
 from swiftwell.fronts.mqtt.codec import V5, V311, Ack, ProtocolError, Publish, Reason, Type
 from swiftwell.fronts.mqtt.contract import Contract, FunctionHint, Rejected
 from swiftwell.fronts.mqtt.session import Inbox, Outbox
-from swiftwell.fronts.patience import MOST, Skew, Told, left_us
+from swiftwell.fronts.time_budget import MOST, Skew, Told, left_us
 from swiftwell.fronts.trigger import Answer, Kind
 
 
