--- a/swiftwell/sockets.py
+++ b/swiftwell/sockets.py
@@ -1,7 +1,7 @@
-"""TCP sockets whose failures tell whose trouble they are, and that bear with what passes by itself.
+"""TCP sockets that tell local failures from those of the peer, and tolerate transient local failures.
 
-`connect`, `socket`, `send` and `recv` may fail for a moment because of this machine: no descriptor, no local
-port, no buffer, no route.  That says nothing of the peer, and after a moment the same call may succeed.
+`connect`, `socket`, `send` and `recv` may fail for lack of a descriptor, local port, buffer or route on this
+machine.  That says nothing about the peer, and the same call may succeed a moment later.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from tornado.iostream import IOStream
 
-RETRY_S = 0.02  # s until a call that failed for a reason of ours is tried again
-# Reasons of ours for which no connection can be begun (connect(2), socket(2)).
+RETRY_S = 0.02  # until a call that failed locally is tried again
+# Local errors for which no connection can be opened (connect(2), socket(2)).
 LOCAL_ERRORS = frozenset(
     (
         errno.EADDRNOTAVAIL,
@@ -26,17 +26,17 @@
         errno.EMFILE,
     )
 )
-# Reasons for which a call on an open connection fails for a moment (send(2), recv(2)).
+# Transient errors of calls on an open connection (send(2), recv(2)).
 _PASSING_ERRORS = frozenset((errno.ENOBUFS, errno.ENOMEM))
 
 
 def is_local(error: BaseException) -> bool:
-    """Whether an error is of this machine's making, so that nothing is known of the peer."""
+    """Whether an error was caused on this machine, so that it says nothing about the peer."""
     return isinstance(error, OSError) and error.errno in LOCAL_ERRORS
 
 
 def cause_of(error: BaseException) -> BaseException:
-    """What the socket said: a stream tells its end by an error of its own."""
+    """The error of the socket that is behind the error of a stream."""
     return getattr(error, "real_error", None) or error
 
 
@@ -45,29 +45,30 @@
         try:
             super().connect(address)
         except BlockingIOError as error:
-            if error.errno == errno.EAGAIN:  # no local port is free: nothing is under way
+            if error.errno == errno.EAGAIN:  # no local port is free: no connection was started
                 raise OSError(errno.EADDRNOTAVAIL, "no local port") from error
             raise
 
 
 class TcpStream(IOStream):
-    """A stream over a new TCP socket, or over one that was accepted."""
+    """A stream over a new TCP socket, or over an accepted one."""
 
     def __init__(self, connected: socket.socket | None = None, **bounds: int) -> None:
-        """Raises OSError where no socket can be made."""
+        """Raises OSError if no socket can be created."""
         super().__init__(connected or _TcpSocket(socket.AF_INET, socket.SOCK_STREAM), **bounds)
 
     def close(self, exc_info: Any = False) -> None:
-        """As its base; what ended it is kept without the frames that refer to the stream.
+        """Like the base method, but drops the traceback of the error, whose frames refer to the stream.
 
-        Else each stream that was reset is a cycle, and thousands of them make full collections long.
+        Otherwise each stream that was reset forms a reference cycle, and thousands of them make full garbage
+        collections slow.
         """
         super().close(exc_info)
         if self.error is not None:
             self.error.__traceback__ = None
 
     def write_to_fd(self, data: memoryview) -> int:
-        """As its base; a want of buffers counts as a full one."""
+        """Like the base method, but a lack of buffers counts as a full buffer."""
         try:
             return super().write_to_fd(data)
         except OSError as error:
@@ -76,7 +77,7 @@
             raise
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """As its base; a want of memory counts as nothing there yet."""
+        """Like the base method, but a lack of memory counts as no data yet."""
         try:
             return super().read_from_fd(buf)
         except OSError as error:
