--- a/swiftwell/discovery/sources.py
+++ b/swiftwell/discovery/sources.py
@@ -98,10 +98,10 @@
             try:
                 await self.session()
             except (Unreachable, SettingsError) as error:
-                self._backoff.ended(time.monotonic() - began)
+                self._backoff.connection_ended(time.monotonic() - began)
                 if not self.heard_at and self._turn % len(self._servers) == 0:
                     await self._ask_peers()
-                wait = self._backoff.wait_s()
+                wait = self._backoff.next_delay_s()
                 self.lost(error, wait)
                 await asyncio.sleep(wait)
 
--- a/swiftwell/fronts/__init__.py
+++ b/swiftwell/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Where triggers come in: one shape of a call for all fronts, and a package for each protocol."""
+"""The fronts, over which calls arrive: one representation of a call, and a package for each protocol."""
--- a/swiftwell/fronts/amqp/link.py
+++ b/swiftwell/fronts/amqp/link.py
@@ -47,8 +47,8 @@
                 why = await self._once(host, port)
                 if self._closing:
                     return
-                self._backoff.ended(time.monotonic() - began)
-                wait = self._backoff.wait_s()
+                self._backoff.connection_ended(time.monotonic() - began)
+                wait = self._backoff.next_delay_s()
                 self._host.log(
                     "warning", "broker-lost", broker=self.link.name, address=f"{host}:{port}", why=why,
                     again_in_s=round(wait, 2),
--- a/swiftwell/fronts/host.py
+++ b/swiftwell/fronts/host.py
@@ -1,4 +1,4 @@
-"""What a front needs of the gateway that hosts it, and the pace at which a client comes back to a server."""
+"""Interfaces between the fronts and the gateway, and the back-off of reconnecting clients."""
 
 from __future__ import annotations
 
@@ -8,62 +8,62 @@
 from swiftwell.fronts.trigger import Answer, Trigger
 from swiftwell.interface import Effect
 
-FIRST_WAIT_S, MOST_WAIT_S = 0.1, 10.0  # s before coming back: at first, and at most
-SETTLED_S = 5.0  # s that a connection must have lived to count as good: one that dies sooner is no success
+INITIAL_DELAY_S, MAX_DELAY_S = 0.1, 10.0  # before reconnecting
+STABLE_AFTER_S = 5.0  # a connection that ends sooner counts as a failure
 
 
 class Host(Protocol):
     """The gateway as a front sees it."""
 
     def submit(self, trigger: Trigger) -> None:
-        """Take a trigger; `Front.replied` follows exactly once, `Front.accepted` may come before it."""
+        """Take a trigger.  `Front.replied` is called exactly once, `Front.accepted` possibly before it."""
 
     def gone(self, source: str) -> None:
-        """Nobody can be answered at this source any more."""
+        """The source has disconnected: its calls can no longer be answered."""
 
     def wake(self) -> None:
-        """A turn is wanted: what a front has gathered goes out at its end."""
+        """Request an engine step, at whose end the fronts flush their output."""
 
     def wall_ms(self) -> float:
-        """Wall-clock time, anchored at the start."""
+        """Wall-clock time, anchored at the start of the process."""
 
     def effect(self, band: str) -> Effect | None:
-        """What a repeat of a class does; None for an unknown class."""
+        """The effect of repeating a call of a class; None for an unknown class."""
 
     def load(self) -> tuple[int, int]:
-        """Calls of all fronts that are at a worker, and that wait."""
+        """Numbers of calls, of all fronts, that are at a worker and that wait."""
 
     def log(self, level: str, event: str, **fields: object) -> None:
-        """A line for the log."""
+        """Write a log line."""
 
 
 class Front(Protocol):
-    """A front as the gateway sees it."""
+    """A front, as the gateway sees it."""
 
     def accepted(self, trigger: Trigger) -> None:
-        """A trigger is taken; for a class with effects its intent is on disk."""
+        """A trigger has been accepted; for a class with effects its intent is on disk."""
 
     def replied(self, trigger: Trigger, answer: Answer) -> None:
-        """The final answer."""
+        """Deliver the final answer."""
 
 
 class Backoff:
-    """Waits between attempts to connect: doubled, with full jitter, so that gateways don't come back in step.
+    """Delays between attempts to connect: doubling, with jitter, so that gateways don't reconnect in step.
 
-    >>> Backoff(random.Random(1)).wait_s() <= FIRST_WAIT_S
+    >>> Backoff(random.Random(1)).next_delay_s() <= INITIAL_DELAY_S
     True
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance, self._failures = chance, 0
+    def __init__(self, rng: random.Random) -> None:
+        self._rng, self._failures = rng, 0
 
-    def wait_s(self) -> float:
-        """How long to wait now; counts one more failure."""
-        most = min(MOST_WAIT_S, FIRST_WAIT_S * 2**self._failures)
+    def next_delay_s(self) -> float:
+        """The delay before the next attempt; counts one more failure."""
+        limit_s = min(MAX_DELAY_S, INITIAL_DELAY_S * 2**self._failures)
         self._failures = min(self._failures + 1, 16)
-        return self._chance.uniform(most / 4, most)
+        return self._rng.uniform(limit_s / 4, limit_s)
 
-    def ended(self, lived_s: float) -> None:
-        """A connection has ended after so long."""
-        if lived_s >= SETTLED_S:
+    def connection_ended(self, lifetime_s: float) -> None:
+        """A connection has ended; resets the delay if it was stable."""
+        if lifetime_s >= STABLE_AFTER_S:
             self._failures = 0
--- a/swiftwell/fronts/mqtt/subscriber.py
+++ b/swiftwell/fronts/mqtt/subscriber.py
@@ -83,8 +83,8 @@
                 why = await self._once(address)
             if self._closing:
                 return
-            self._backoff.ended(time.monotonic() - began)
-            wait = self._backoff.wait_s()
+            self._backoff.connection_ended(time.monotonic() - began)
+            wait = self._backoff.next_delay_s()
             self._host.log("warning", "broker-lost", broker=self.link.name,
             address=f"{address[0]}:{address[1]}",
             why=why,
--- a/swiftwell/starting/follow.py
+++ b/swiftwell/starting/follow.py
@@ -143,8 +143,8 @@
         except (Unreachable, SettingsError) as error:
             wait = 0.0
             if what is Ask.ALONE or self.zone.reading.reader:
-                self._backoff.ended(time.monotonic() - began)
-                wait = self._backoff.wait_s()
+                self._backoff.connection_ended(time.monotonic() - began)
+                wait = self._backoff.next_delay_s()
                 self._rest_until = time.monotonic() + wait
             self.zone.reading.lost()
             service.lost(error, wait)
