--- a/swiftwell/fronts/amqp/consumer.py
+++ b/swiftwell/fronts/amqp/consumer.py
@@ -29,7 +29,7 @@
 from swiftwell.fronts.amqp.session import Blocked, ChannelEnded, Ended, Event, Login, Ready, Session
 from swiftwell.fronts.amqp.wire import Incoming
 from swiftwell.fronts.host import Host
-from swiftwell.fronts.message_reader import Freshness, Unreadable
+from swiftwell.fronts.message_reader import Freshness, InvalidMessage
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 from swiftwell.interface import Effect
 
@@ -269,7 +269,7 @@
                 for claim in self.barriers.popleft() if self.barriers else ():
                     self._submit(claim.trigger, claim.at)
             case codec.ConsumeOk():
-                self._freshness.full(self._clock())
+                self._freshness.mark_full(self._clock())
                 if not self.up:
                     self.up = True
                     self.host.log("info", "broker-up", broker=self.link.name)
@@ -324,7 +324,7 @@
         if self.resting or (self.claimed >= self.prefetch.limit and self.claimed):
             # Claimed ones no longer count for the broker's limit: the rest stays unacknowledged here.
             self.parked.append(event)
-            self._freshness.full(self._clock())
+            self._freshness.mark_full(self._clock())
             return
         deliver, properties = event.method, event.properties
         assert isinstance(deliver, codec.Deliver) and properties
@@ -332,11 +332,11 @@
         self.counts.redelivered += deliver.redelivered
         now = self._clock()
         if self.open >= FULL * self.prefetch.limit:
-            self._freshness.full(now)
+            self._freshness.mark_full(now)
         ref = self.contract.ref(deliver, properties, (self, self.generation), now)
         try:
             if event.too_large:
-                raise Unreadable(f"the body is larger than {self.link.login.most_body} bytes")
+                raise InvalidMessage(f"the body is larger than {self.link.login.most_body} bytes")
             trigger, age_ms = self.contract.read(
                 deliver,
                 properties,
@@ -344,9 +344,9 @@
                 self.source,
                 ref,
                 self.host.wall_ms(),
-                self._freshness.fresh(now),
+                self._freshness.is_fresh(now),
             )
-        except Unreadable as error:
+        except InvalidMessage as error:
             self._reject(event, ref, str(error))
             return
         if deliver.redelivered and (earlier := self.twins.get(twin(ref))):
--- a/swiftwell/fronts/amqp/contract.py
+++ b/swiftwell/fronts/amqp/contract.py
@@ -12,7 +12,15 @@
 from typing import Any
 
 from swiftwell.fronts.amqp.codec import Deliver, Properties
-from swiftwell.fronts.message_reader import FunctionHint, Message, Reader, Unreadable, address, numbers, told
+from swiftwell.fronts.message_reader import (
+    FunctionHint,
+    InvalidMessage,
+    Message,
+    Reader,
+    answer_fields,
+    numeric_fields,
+    parse_address,
+)
 from swiftwell.fronts.trigger import Answer, Trigger
 
 MOST_HEADERS = 64  # headers of a trigger
@@ -74,21 +82,21 @@
     ) -> tuple[Trigger, float | None]:
         """A message as a trigger, and its age in ms where it tells when it was sent; completes `ref`.
 
-        `fresh`: it can't have waited for us at the broker.  Raises Unreadable.
+        `fresh`: it can't have waited for us at the broker.  Raises InvalidMessage.
         """
         headers = properties.headers or {}
         if len(headers) > MOST_HEADERS:
-            raise Unreadable(f"more than {MOST_HEADERS} headers")
+            raise InvalidMessage(f"more than {MOST_HEADERS} headers")
         named = {name: _text(headers[name]) for name in _NAMES if name in headers}
         if len(named) == len(_NAMES):
             tenant, band, function = named["tenant"], named["class"], named["function"]
         else:
-            tenant, band, function = address(deliver.routing_key, self._prefix, ".")
+            tenant, band, function = parse_address(deliver.routing_key, self._prefix, ".")
             tenant, band = named.get("tenant", tenant), named.get("class", band)
             function = named.get("function", function)
         if not (tenant and band and function):
-            raise Unreadable("an empty tenant, class or function", True)
-        given = numbers(headers.items())
+            raise InvalidMessage("an empty tenant, class or function", True)
+        given = numeric_fields(headers.items())
         if properties.timestamp is not None and "sent-ms" not in given:
             # Whole seconds, cut off: taken at their end, or a message would seem older than it is.
             given["sent-ms"] = properties.timestamp * 1_000.0 + 1_000.0
@@ -110,13 +118,13 @@
     if text is None:
         return None
     if not text.isascii() or not text.isdigit():
-        raise Unreadable(f"the expiration is not a number of ms: {text[:40]!r}")
+        raise InvalidMessage(f"the expiration is not a number of ms: {text[:40]!r}")
     return float(text)
 
 
 def answer(ref: Ref, given: Answer, number: int, repeated: bool = False) -> tuple[Properties, bytes]:
     """An answer as properties and body; `number` finds it again when the broker returns it."""
-    headers: dict[str, Any] = dict(told(given, ref.key))
+    headers: dict[str, Any] = dict(answer_fields(given, ref.key))
     if repeated:
         headers["repeated"] = True  # it may have come before: a connection was lost with it in flight
     properties = Properties(
--- a/swiftwell/fronts/message_reader.py
+++ b/swiftwell/fronts/message_reader.py
@@ -1,8 +1,8 @@
-"""What every front reads in a message and writes in an answer: one set of names, bounds and rules.  No I/O.
+"""The message fields that all fronts share: their names, limits and rules.  No I/O.
 
-A front takes its protocol's message apart: the words of its address, named values as text, the payload, and
-what the protocol tells of repeats and expiry.  The rest is here, so that the same call asked over two fronts
-is the same call to the engine and its ledger.
+A front parses its protocol's message: the levels of its address, named values as text, the payload, and the
+protocol's own marks of redelivery and expiry.  The rest is here, so that the same call over two fronts is the
+same call to the engine and its ledger.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from swiftwell.fronts.time_budget import Skew, Told, left_us
+from swiftwell.fronts.time_budget import ClockSkew, TimeFields, left_us
 from swiftwell.fronts.trigger import Answer, Trigger
 
-MOST_KEY = 200  # characters of a publisher's key
-MOST_LEVELS = 16  # words of an address
-ROOM_S = 0.25  # s of room after which a broker has nothing left that waits for us
-NUMBERS = ("timeout-ms", "deadline-ms", "sent-ms", "memory-mb", "lanes", "attempt", "unanswered")
+MAX_KEY_CHARACTERS = 200  # of a publisher's key
+MAX_ADDRESS_LEVELS = 16
+FRESH_AFTER_S = 0.25  # with room for this long, a broker has delivered all that waited for us
+NUMERIC_FIELDS = ("timeout-ms", "deadline-ms", "sent-ms", "memory-mb", "lanes", "attempt", "unanswered")
 
 
-class Unreadable(Exception):
-    """A message that can't become a trigger; `address`: because of where it was sent."""
+class InvalidMessage(Exception):
+    """A message that can't become a trigger; `address`: because of its address."""
 
     def __init__(self, text: str, address: bool = False) -> None:
         super().__init__(text)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionHint:
-    """What the settings tell of functions that a pattern names."""
+    """Defaults from the settings for the functions that match a pattern."""
 
     memory_mb: float = 0.0
     lanes: int = 1
@@ -40,11 +40,12 @@
 
 @dataclass(slots=True)
 class Message:
-    """A message taken apart.
+    """A parsed message.
 
-    `numbers`: what it names of `NUMBERS`; `publisher`: whose clock it tells; `expiry_ms`: what is left of it
-    by the protocol's own word; `repeated`: the protocol says that it was delivered before; `elsewhere`: and
-    that another gateway may have had it; `fresh`: it can't have waited for us at a broker.
+    `numbers`: its values of `NUMERIC_FIELDS`; `publisher`: whose clock its times follow; `expiry_ms`: what is
+    left of it by the protocol's own expiry; `redelivered`: the protocol says that it was delivered before;
+    `maybe_seen_elsewhere`: another gateway may have received it; `fresh`: it can't have waited for us at a
+    broker.
     """
 
     tenant: str
@@ -55,64 +56,66 @@
     numbers: dict[str, float]
     publisher: str
     expiry_ms: float | None = None
-    repeated: bool = False
-    elsewhere: bool = False
+    redelivered: bool = False
+    maybe_seen_elsewhere: bool = False
     fresh: bool = True
 
 
 class Freshness:
-    """Whether what a broker gives now can have waited there for us: it can't once we have had room for a
-    while, as the broker would have given it before."""
+    """Whether a message that a broker delivers now can have waited there for us.
+
+    It can't if we have had room for `FRESH_AFTER_S`, as the broker would have delivered it before.
+    """
 
     def __init__(self) -> None:
         self._full_at = 0.0
 
-    def full(self, now: float) -> None:
-        """We have no room, or begin to take."""
+    def mark_full(self, now: float) -> None:
+        """Note that there is no room for messages now, or that delivery is only starting."""
         self._full_at = now
 
-    def fresh(self, now: float) -> bool:
-        """Whether room has stood for long enough."""
-        return now - self._full_at > ROOM_S
+    def is_fresh(self, now: float) -> bool:
+        """Whether there has been room for long enough."""
+        return now - self._full_at > FRESH_AFTER_S
 
 
-def address(text: str, prefix: list[str], separator: str) -> tuple[str, str, str]:
-    """Tenant, class and function in an address of words; raises Unreadable.
+def parse_address(text: str, prefix: list[str], separator: str) -> tuple[str, str, str]:
+    """Split an address into tenant, class and function; raises InvalidMessage.
 
-    >>> address("calls.t.c.heat.f1", ["calls"], ".")
+    >>> parse_address("calls.t.c.heat.f1", ["calls"], ".")
     ('t', 'c', 'heat/f1')
     """
-    words = text.split(separator)
+    levels = text.split(separator)
     count = len(prefix)
-    if words[:count] != prefix or len(words) < count + 3 or not all(words):
+    if levels[:count] != prefix or len(levels) < count + 3 or not all(levels):
         wanted = separator.join([*prefix, "TENANT", "CLASS", "FUNCTION"])
         name = "topic" if separator == "/" else "routing key"
-        raise Unreadable(f"the {name} is not {wanted}", True)
-    if len(words) > MOST_LEVELS:
-        raise Unreadable(f"the address has more than {MOST_LEVELS} levels", True)
-    return words[count], words[count + 1], "/".join(words[count + 2 :])
+        raise InvalidMessage(f"the {name} is not {wanted}", True)
+    if len(levels) > MAX_ADDRESS_LEVELS:
+        raise InvalidMessage(f"the address has more than {MAX_ADDRESS_LEVELS} levels", True)
+    return levels[count], levels[count + 1], "/".join(levels[count + 2 :])
 
 
-def numbers(pairs: Iterable[tuple[str, object]]) -> dict[str, float]:
-    """The named numbers among named values, as text or as numbers; raises Unreadable."""
+def numeric_fields(pairs: Iterable[tuple[str, object]]) -> dict[str, float]:
+    """The values of `NUMERIC_FIELDS` among named values, given as text or numbers; raises InvalidMessage."""
     found = {}
     for name, value in pairs:
-        if name in NUMBERS:
+        if name in NUMERIC_FIELDS:
             try:
                 found[name] = float(value)  # type: ignore[arg-type]
             except (TypeError, ValueError, OverflowError):
                 found[name] = math.nan
             if not math.isfinite(found[name]) or found[name] < 0:
-                raise Unreadable(f"{name} is not a number: {str(value)[:40]!r}")
+                raise InvalidMessage(f"{name} is not a number: {str(value)[:40]!r}")
     return found
 
 
 class Reader:
-    """Makes triggers for one front.
+    """Creates the triggers of one front.
 
-    `deadlines_ms`: class to its deadline; `hint`: function to what the settings tell of it; `direct`:
-    messages come over the publishers' own connections; `alone`: no other gateway runs what these publishers
-    send.
+    `deadlines_ms`: the deadline of each class; `hint`: looks up the defaults of a function; `direct`:
+    messages come over the publishers' own connections; `sole_gateway`: no other gateway runs what these
+    publishers send.
     """
 
     def __init__(
@@ -120,31 +123,31 @@
         deadlines_ms: dict[str, float],
         hint: Callable[[str], FunctionHint],
         direct: bool,
-        alone: bool,
+        sole_gateway: bool,
     ) -> None:
         self._deadlines, self._hint = deadlines_ms, hint
-        self.direct, self.alone = direct, alone
-        self.skew = Skew()
+        self.direct, self.sole_gateway = direct, sole_gateway
+        self.skew = ClockSkew()
 
     def deadline_ms(self, band: str) -> float:
-        """The deadline of a class; a minute for one that is unknown."""
+        """The deadline of a class; a minute for an unknown class."""
         return self._deadlines.get(band, 0.0) or 60_000.0
 
     def trigger(self, message: Message, source: str, ref: object, now_ms: float) -> Trigger:
-        """The trigger that a message asks for; raises Unreadable."""
-        if len(message.key) > MOST_KEY:
-            raise Unreadable(f"the key is longer than {MOST_KEY} characters")
-        given = message.numbers
-        told = Told(
-            given.get("timeout-ms"), given.get("deadline-ms"), given.get("sent-ms"), message.expiry_ms
+        """Create the trigger of a message; raises InvalidMessage."""
+        if len(message.key) > MAX_KEY_CHARACTERS:
+            raise InvalidMessage(f"the key is longer than {MAX_KEY_CHARACTERS} characters")
+        numbers = message.numbers
+        times = TimeFields(
+            numbers.get("timeout-ms"), numbers.get("deadline-ms"), numbers.get("sent-ms"), message.expiry_ms
         )
-        most = self.deadline_ms(message.band)
-        left = left_us(told, most, message.publisher, now_ms, self.direct, self.skew, message.fresh)
+        limit_ms = self.deadline_ms(message.band)
+        left = left_us(times, limit_ms, message.publisher, now_ms, self.direct, self.skew, message.fresh)
         hint = self._hint(message.function)
-        attempt, unanswered = given.get("attempt") or 0, given.get("unanswered")
-        # A publisher that has tried before and does not say that it was refused may have been heard
-        # elsewhere.
-        doubted = attempt > 0 if unanswered is None else unanswered > 0
+        attempt, unanswered = numbers.get("attempt") or 0, numbers.get("unanswered")
+        # A publisher that has tried before, and does not say that all its attempts were answered, may have
+        # reached another gateway.
+        unanswered_before = attempt > 0 if unanswered is None else unanswered > 0
         return Trigger(
             source=source,
             ref=ref,
@@ -154,22 +157,22 @@
             key=message.key,
             payload=message.payload,
             left_us=left,
-            again=message.repeated or attempt > 0,
-            elsewhere=not self.alone and (doubted or message.elsewhere),
-            memory_mb=given.get("memory-mb") or hint.memory_mb,
-            lanes=int(given.get("lanes") or hint.lanes),
+            again=message.redelivered or attempt > 0,
+            elsewhere=not self.sole_gateway and (unanswered_before or message.maybe_seen_elsewhere),
+            memory_mb=numbers.get("memory-mb") or hint.memory_mb,
+            lanes=int(numbers.get("lanes") or hint.lanes),
             hint_us=hint.hint_us,
             load_us=hint.load_us,
         )
 
 
-def told(answer: Answer, key: str) -> list[tuple[str, str]]:
-    """What an answer says beside its body, by name."""
-    out = [("status", answer.kind.value), ("reason", answer.reason)]
+def answer_fields(answer: Answer, key: str) -> list[tuple[str, str]]:
+    """The named fields of an answer, apart from its body."""
+    fields = [("status", answer.kind.value), ("reason", answer.reason)]
     if answer.wait_us:
-        out.append(("wait-ms", str(-(-answer.wait_us // 1_000))))
+        fields.append(("wait-ms", str(-(-answer.wait_us // 1_000))))
     if answer.worker:
-        out.append(("worker", answer.worker))
+        fields.append(("worker", answer.worker))
     if key:
-        out.append(("key", key))
-    return out
+        fields.append(("key", key))
+    return fields
--- a/swiftwell/fronts/mqtt/contract.py
+++ b/swiftwell/fronts/mqtt/contract.py
@@ -14,8 +14,15 @@
 
 import msgspec
 
-from swiftwell.fronts.message_reader import FunctionHint, Message, Reader, Unreadable, address, numbers
-from swiftwell.fronts.message_reader import told as said
+from swiftwell.fronts.message_reader import (
+    FunctionHint,
+    InvalidMessage,
+    Message,
+    Reader,
+    answer_fields,
+    numeric_fields,
+    parse_address,
+)
 from swiftwell.fronts.mqtt.codec import V5, V311, Publish, Reason
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 
@@ -103,15 +110,15 @@
         """
         try:
             return self._read(message, source, ref, now_ms, fresh)
-        except Unreadable as error:
+        except InvalidMessage as error:
             reason = Reason.TOPIC_INVALID if error.address else Reason.PAYLOAD_FORMAT
             raise Rejected(reason, str(error)) from None
 
     def _read(self, message: Publish, source: str, ref: Ref, now_ms: float, fresh: bool) -> Trigger:
-        tenant, band, function = address(message.topic, self._prefix, "/")
+        tenant, band, function = parse_address(message.topic, self._prefix, "/")
         if ref.version == V5:
             pairs = message.properties.get("user", [])
-            told, payload = numbers(pairs), message.payload
+            told, payload = numeric_fields(pairs), message.payload
             ref.key = next((value for name, value in pairs if name == "key"), "")
         else:
             told, payload = self._envelope(message, ref)
@@ -151,7 +158,7 @@
             "attempt": envelope.attempt,
             "unanswered": envelope.unanswered,
         }
-        told = numbers((name, value) for name, value in given.items() if value is not None)
+        told = numeric_fields((name, value) for name, value in given.items() if value is not None)
         body = envelope.body
         return told, body.encode() if isinstance(body, str) else b"" if body is None else _encode(body)
 
@@ -162,7 +169,7 @@
         return None
     qos = min(ref.qos, 1)
     if ref.version == V5:
-        user = said(told, ref.key)
+        user = answer_fields(told, ref.key)
         properties: dict[str, Any] = {"user": user}
         if ref.correlation is not None:
             properties["correlation_data"] = ref.correlation
--- a/swiftwell/fronts/mqtt/peer.py
+++ b/swiftwell/fronts/mqtt/peer.py
@@ -58,7 +58,7 @@
         """The session goes on over a new connection."""
         self.generation += 1
         self.connection = connection
-        self._freshness.full(time.monotonic())
+        self._freshness.mark_full(time.monotonic())
 
     def detach(self, connection: Connection) -> None:
         """The connection has ended."""
@@ -89,11 +89,11 @@
         """Read a message as a trigger and submit it."""
         now, inbox = time.monotonic(), self.session.inbox
         if len(inbox) >= FULL * inbox.window:
-            self._freshness.full(now)
+            self._freshness.mark_full(now)
         ref = self.contract.ref(message, version, (self, self.generation), self.client)
         try:
             trigger = self.contract.read(
-                message, self.source, ref, self.host.wall_ms(), self._freshness.fresh(now)
+                message, self.source, ref, self.host.wall_ms(), self._freshness.is_fresh(now)
             )
         except Rejected as error:
             self.host.log(
--- a/tests/test_amqp_decisions.py
+++ b/tests/test_amqp_decisions.py
@@ -13,8 +13,8 @@
 from swiftwell.fronts.amqp.redelivery import SLACK_US, Delivered, Redelivered, may_have_run
 from swiftwell.fronts.amqp.session import Blocked, ChannelEnded, Login, Ready
 from swiftwell.fronts.amqp.wire import Incoming, Wire
-from swiftwell.fronts.message_reader import FunctionHint, Unreadable
-from swiftwell.fronts.time_budget import Skew
+from swiftwell.fronts.message_reader import FunctionHint, InvalidMessage
+from swiftwell.fronts.time_budget import ClockSkew
 from swiftwell.fronts.trigger import Answer, Kind
 from swiftwell.interface import Effect
 
@@ -91,7 +91,7 @@
 def test_what_may_have_waited_at_the_broker_is_not_taken_for_skew():
     """A gateway that starts before a full queue: each message's wait counts, whatever is not known yet."""
     now = 1e12
-    skew = Skew()
+    skew = ClockSkew()
     for number in range(20):
         assert skew.transit_ms("p", now - 1_500 + number, now, False, fresh=False) == 1_500 - number
     # Once the queue is empty, a clock that is 300 ms behind is told from a wait.
@@ -197,7 +197,7 @@
     ],
 )  # fmt: skip
 def test_what_can_not_be_read_says_why(properties, key, why):
-    with pytest.raises(Unreadable, match=why):
+    with pytest.raises(InvalidMessage, match=why):
         read(properties, key)
 
 
--- a/tests/test_mqtt_session.py
+++ b/tests/test_mqtt_session.py
@@ -9,7 +9,7 @@
 from swiftwell.fronts.mqtt.codec import V5, V311, Ack, ProtocolError, Publish, Reason, Type
 from swiftwell.fronts.mqtt.contract import Contract, FunctionHint, Rejected
 from swiftwell.fronts.mqtt.session import Inbox, Outbox
-from swiftwell.fronts.time_budget import MOST, Skew, Told, left_us
+from swiftwell.fronts.time_budget import MAX_PUBLISHERS, ClockSkew, TimeFields, left_us
 from swiftwell.fronts.trigger import Answer, Kind
 
 
@@ -158,23 +158,23 @@
 
 
 def left(skew, sent, now, timeout=1_000.0, direct=True, **more):
-    return left_us(Told(timeout, sent_ms=sent, **more), 2_500.0, "p", now, direct, skew) / 1_000
+    return left_us(TimeFields(timeout, sent_ms=sent, **more), 2_500.0, "p", now, direct, skew) / 1_000
 
 
 def test_time_on_the_way_is_taken_off_and_skew_is_not():
-    skew = Skew()
+    skew = ClockSkew()
     assert left(skew, AT + 700, AT) == 1_000  # its clock is ahead
     assert left(skew, AT + 1_700, AT + 1_400) == 600  # 400 ms under way
 
 
 def test_a_message_that_waited_at_a_broker_is_known_to_be_old_at_once():
-    skew = Skew()
+    skew = ClockSkew()
     assert left(skew, AT - 60_000, AT, direct=False) == 0
 
 
 @pytest.mark.parametrize("hour", [3_600_000.0, -3_600_000.0])
 def test_a_publishers_clock_set_by_an_hour_costs_a_direct_one_nothing(hour):
-    skew = Skew()
+    skew = ClockSkew()
     for n in range(5):
         assert left(skew, AT + n * 1_000, AT + n * 1_000) == 1_000
     for n in range(5, 10):
@@ -182,7 +182,7 @@
 
 
 def test_a_publishers_clock_set_back_is_believed_through_a_broker_after_three_that_agree():
-    skew = Skew()
+    skew = ClockSkew()
     left(skew, AT, AT, direct=False)
     seen = [left(skew, AT - 3_600_000 + n, AT + n, direct=False) for n in range(1, 6)]
     assert seen == [0, 0, 1_000, 1_000, 1_000]
@@ -190,20 +190,20 @@
 
 
 def test_the_shortest_of_all_that_is_told_counts():
-    skew = Skew()
-    told = Told(2_000.0, AT + 900, AT, 700.0)
+    skew = ClockSkew()
+    told = TimeFields(2_000.0, AT + 900, AT, 700.0)
     assert left_us(told, 2_500.0, "p", AT, True, skew) == 700_000
-    assert left_us(Told(), 2_500.0, "p", AT, True, skew) == 2_500_000
-    assert left_us(Told(99_000.0), 2_500.0, "p", AT, True, skew) == 2_500_000
-    assert left_us(Told(deadline_ms=AT + 300), 2_500.0, "p", AT, True, skew) == 300_000
+    assert left_us(TimeFields(), 2_500.0, "p", AT, True, skew) == 2_500_000
+    assert left_us(TimeFields(99_000.0), 2_500.0, "p", AT, True, skew) == 2_500_000
+    assert left_us(TimeFields(deadline_ms=AT + 300), 2_500.0, "p", AT, True, skew) == 300_000
 
 
 def test_old_differences_are_forgotten_and_publishers_are_bounded():
-    skew = Skew()
+    skew = ClockSkew()
     left(skew, AT + 5_000, AT)  # drifted 5 s ahead once
     for n in range(1, 30):
         left(skew, AT + n * 60_000, AT + n * 60_000)
     assert left(skew, AT + 30 * 60_000, AT + 30 * 60_000) == 1_000
-    for n in range(MOST + 10):
+    for n in range(MAX_PUBLISHERS + 10):
         skew.transit_ms(f"p{n}", AT, AT, True)
-    assert len(skew) == MOST
+    assert len(skew) == MAX_PUBLISHERS
