--- a/swiftwell/fronts/amqp/contract.py
+++ b/swiftwell/fronts/amqp/contract.py
@@ -16,7 +16,7 @@
     FunctionHint,
     InvalidMessage,
     Message,
-    Reader,
+    MessageReader,
     answer_fields,
     numeric_fields,
     parse_address,
@@ -58,7 +58,7 @@
         alone: bool = True,
     ) -> None:
         self._prefix = prefix.strip("/").split("/")
-        self.reader = Reader(deadlines_ms, hint, False, alone)
+        self.reader = MessageReader(deadlines_ms, hint, False, alone)
 
     def ref(self, deliver: Deliver, properties: Properties, connection: Any, arrived: float) -> Ref:
         """Where an answer to this message goes, as far as it can be read."""
--- a/swiftwell/fronts/message_reader.py
+++ b/swiftwell/fronts/message_reader.py
@@ -110,7 +110,7 @@
     return found
 
 
-class Reader:
+class MessageReader:
     """Creates the triggers of one front.
 
     `deadlines_ms`: the deadline of each class; `hint`: looks up the defaults of a function; `direct`:
--- a/swiftwell/fronts/mqtt/contract.py
+++ b/swiftwell/fronts/mqtt/contract.py
@@ -18,7 +18,7 @@
     FunctionHint,
     InvalidMessage,
     Message,
-    Reader,
+    MessageReader,
     answer_fields,
     numeric_fields,
     parse_address,
@@ -89,7 +89,7 @@
     ) -> None:
         self._prefix = prefix.strip("/").split("/")
         self._direct = direct
-        self._reader = Reader(deadlines_ms, hint, direct, alone)
+        self._reader = MessageReader(deadlines_ms, hint, direct, alone)
 
     def ref(self, message: Publish, version: int, connection: Any, client: str) -> Ref:
         """Where an answer to this message goes, as far as it can be read."""
