--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -1,4 +1,4 @@
-"""The FastCGI codec and the session of a connection, without I/O."""
+"""The FastCGI codec and sessions, without I/O."""
 
 import pytest
 from hypothesis import given
@@ -27,10 +27,10 @@
     return bytes(head) + b"\0" * padding
 
 
-def numbers(session):
-    """The requests that the session has answered on its own, with the status of each END_REQUEST."""
-    out, session.output = b"".join(session.output), []
-    return {number: content[4] for kind, number, content in Decoder().feed(out) if kind == codec.END}
+def rejected_statuses(session):
+    """The requests that the session has rejected: number to protocol status of the END_REQUEST record."""
+    output, session.output = b"".join(session.output), []
+    return {number: content[4] for kind, number, content in Decoder().feed(output) if kind == codec.END}
 
 
 @given(st.integers(0, 400), st.binary(max_size=300), st.integers(0, 255))
@@ -86,20 +86,20 @@
     assert [(e.number, e.fields[b"N"], e.body) for e in events] == [
         (n, b"%d" % n, b"%d" % n) for n in range(1, MAX_OPEN_REQUESTS + 1)
     ]
-    # One more than the connection may have is refused without closing it: OVERLOADED is a refusal.
+    # One request above the limit is refused with OVERLOADED, and the connection stays open.
     session.receive(request(99, {"A": "b"}))
-    assert numbers(session) == {99: codec.OVERLOADED} and not session.broken
+    assert rejected_statuses(session) == {99: codec.OVERLOADED} and not session.broken
 
 
 def test_abort_before_during_and_after():
     session = Session()
     session.receive(codec.begin(1))
-    assert session.receive(codec.record(codec.ABORT, 1, b"")) == [] and numbers(session) == {1: 0}
-    (whole,) = session.receive(request(2, {"A": "b"}))
+    assert session.receive(codec.record(codec.ABORT, 1, b"")) == [] and rejected_statuses(session) == {1: 0}
+    (received,) = session.receive(request(2, {"A": "b"}))
     assert session.receive(codec.record(codec.ABORT, 2, b"")) == [RequestAborted(2)]
     assert session.finish_request(2, b"x")
     assert session.receive(codec.record(codec.ABORT, 2, b"")) == [] and not session.broken
-    assert whole.number == 2 and not session.finish_request(2, b"x")  # one answer only
+    assert received.number == 2 and not session.finish_request(2, b"x")  # only one response
 
 
 def test_a_second_begin_under_a_number_in_use_breaks_the_connection():
@@ -134,13 +134,13 @@
 def test_bytes_that_cannot_be_trusted_break_the_connection(data):
     session = Session()
     assert session.receive(data) == [] and session.broken
-    assert session.receive(request(5, {"A": "b"})) == []  # nothing is taken from it any more
+    assert session.receive(request(5, {"A": "b"})) == []  # a broken connection takes no more requests
 
 
 def test_a_wrong_role_and_management_records_are_answered():
     session = Session()
     session.receive(codec.begin(4, role=2) + codec.record(codec.PARAMS, 4, b""))
-    assert numbers(session) == {4: codec.UNKNOWN_ROLE}
+    assert rejected_statuses(session) == {4: codec.UNKNOWN_ROLE}
     session.receive(
         codec.record(codec.GET_VALUES, 0, codec.pair(b"FCGI_MAX_REQS", b"")) + codec.record(50, 0, b"")
     )
@@ -154,8 +154,8 @@
     session.receive(codec.record(codec.STDIN, 1, b"x" * MAX_BODY_BYTES))
     assert not session.output
     session.receive(codec.record(codec.STDIN, 1, b"x"))
-    assert numbers(session) == {1: codec.COMPLETE}
-    for _ in range(100):  # the rest keeps coming at full speed
+    assert rejected_statuses(session) == {1: codec.COMPLETE}
+    for _ in range(100):  # the rest of the body keeps arriving
         assert session.receive(codec.record(codec.STDIN, 1, b"x" * 65_535)) == []
     assert not session._incomplete and not session.broken and not session.output
     session.receive(codec.record(codec.STDIN, 1, b""))
@@ -169,7 +169,7 @@
         session.sweep()
     assert not session.output
     session.sweep()
-    assert numbers(session) == {1: codec.COMPLETE}
+    assert rejected_statuses(session) == {1: codec.COMPLETE}
     session.receive(codec.begin(2)[:5])
     for _ in range(MAX_INCOMPLETE_SWEEPS + 1):
         session.sweep()
@@ -190,7 +190,7 @@
     return {name.encode(): value.encode() for name, value in fields(ID, **more).items()}
 
 
-WRONG = [
+INVALID_FIELDS = [
     {"HTTP_REQ_ID": None}, {"HTTP_REQ_ID": "short"}, {"HTTP_REQ_ID": "9B1F03AA5C7E2D41"},
     {"HTTP_REQ_WAIT_MS": None}, {"HTTP_REQ_WAIT_MS": "-5"}, {"HTTP_REQ_WAIT_MS": "nan"},
     {"HTTP_REQ_WAIT_MS": "inf"}, {"HTTP_REQ_WAIT_MS": "0"}, {"HTTP_REQ_WAIT_MS": "1e99"},
@@ -208,18 +208,20 @@
 
 
 def test_a_deployment_whose_clients_give_no_hints_is_served_and_marks_and_tokens_pass():
-    # Every request without Req-Cost was turned away: one deployment's clients always send it.
-    found = raw(HTTP_REQ_COST=None, HTTP_X_TAGS=None, HTTP_REQ_RETRY="1", HTTP_REQ_TOKEN="6b037a6fa73e6f4d")
-    trigger = rq.read(found, b"1234", CONTRACT, "1/1", None)
+    # Requests without Req-Cost were rejected, as the clients of one deployment always send it.
+    request_fields = raw(
+        HTTP_REQ_COST=None, HTTP_X_TAGS=None, HTTP_REQ_RETRY="1", HTTP_REQ_TOKEN="6b037a6fa73e6f4d"
+    )
+    trigger = rq.read(request_fields, b"1234", CONTRACT, "1/1", None)
     assert (trigger.hint_us, trigger.memory_mb, trigger.lanes, trigger.load_us) == (0, 0.0, 1, 0)
     assert trigger.again and trigger.token == "6b037a6fa73e6f4d"
     usual = rq.read(raw(), b"1234", CONTRACT, "1/1", None)
     assert not usual.again and usual.token == ""
 
 
-@pytest.mark.parametrize("wrong", WRONG, ids=str)
+@pytest.mark.parametrize("wrong", INVALID_FIELDS, ids=str)
 def test_fields_that_cannot_be_used_are_turned_away(wrong):
-    found = raw(**wrong)
+    request_fields = raw(**wrong)
     with pytest.raises(rq.Rejected) as rejected:
-        rq.read(found, b"1234", CONTRACT, "1/1", None)
+        rq.read(request_fields, b"1234", CONTRACT, "1/1", None)
     assert rejected.value.status in (400, 404)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: whole messages from any split; nothing that two readers could see differently is served."""
+"""The HTTP/1.1 parser: whole messages from any split of the bytes; ambiguous messages are rejected."""
 
 import pytest
 from hypothesis import given
@@ -15,27 +15,27 @@
 
 
 def feed(parser, raw, cuts=()):
-    out = []
+    messages = []
     for start, end in zip([0, *cuts], [*cuts, len(raw)], strict=True):
-        out += [m for m in parser.feed(raw[start:end]) if not isinstance(m, MessageStarted)]
-    return out
+        messages += [m for m in parser.feed(raw[start:end]) if not isinstance(m, MessageStarted)]
+    return messages
 
 
 @given(st.lists(st.tuples(HEADERS, BODY), min_size=1, max_size=4), st.data())
-def test_answers_come_whole_from_every_split(sent, data):
-    messages = [Response(200, headers, body) for headers, body in sent]
+def test_answers_come_whole_from_every_split(contents, data):
+    messages = [Response(200, headers, body) for headers, body in contents]
     raw = b"".join(map(encode, messages))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(raw)), max_size=6)))
-    got = feed(Parser(True), raw, cuts)
-    assert [(m.body, {k: v for k, v in m.headers.items() if k != "content-length"}) for m in got] == [
+    parsed = feed(Parser(True), raw, cuts)
+    assert [(m.body, {k: v for k, v in m.headers.items() if k != "content-length"}) for m in parsed] == [
         (m.body, m.headers) for m in messages
     ]
 
 
 @given(HEADERS, BODY)
 def test_requests_come_back(headers, body):
-    got = feed(Parser(False), encode(Request("POST", "/run/a", headers, body)))
-    assert (got[0].method, got[0].target, got[0].body) == ("POST", "/run/a", body)
+    parsed = feed(Parser(False), encode(Request("POST", "/run/a", headers, body)))
+    assert (parsed[0].method, parsed[0].target, parsed[0].body) == ("POST", "/run/a", body)
 
 
 @given(st.lists(st.binary(min_size=1, max_size=20), max_size=5), st.data())
@@ -48,10 +48,10 @@
 
 
 @given(st.binary(max_size=200), st.booleans())
-def test_random_bytes_raise_only_bad_message(raw, answers):
+def test_random_bytes_raise_only_bad_message(raw, responses):
     try:
-        feed(Parser(answers), raw)
-        feed(Parser(answers), b"HTTP/1.1 200 OK\r\n" + raw)
+        feed(Parser(responses), raw)
+        feed(Parser(responses), b"HTTP/1.1 200 OK\r\n" + raw)
     except BadMessage as error:
         assert str(error)
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The worker link on real sockets: what each end of an attempt proves."""
+"""The HTTP worker link on real sockets: what each end of an attempt proves."""
 
 import asyncio
 
@@ -16,25 +16,25 @@
 
 
 async def attempt(address, number=0, bounds=None, abandon_after=None, link=None, wait=5.0):
-    ends = []
+    results = []
     link = link or Link(
-        "gw", bounds or LinkBounds(connect_s=0.3, answer=1_000), ends.append, lambda *a, **k: None
+        "gw", bounds or LinkBounds(connect_s=0.3, answer=1_000), results.append, lambda *a, **k: None
     )
-    link._enqueue = ends.append
+    link._enqueue = results.append
     link.start(ports.Start("c1", number, address, trigger(), 1_000_000))
     if abandon_after is not None:
         await asyncio.sleep(abandon_after)
         link.abandon(ports.Abandon("c1", number, Status.TIMEOUT))
     for _ in range(int(wait * 200)):
-        if ends:
+        if results:
             break
         await asyncio.sleep(0.005)
     await asyncio.sleep(0.02)
-    assert len(ends) == 1, ends
-    return ends[0], link
+    assert len(results) == 1, results
+    return results[0], link
 
 
-def case(answer, status, ran, **more):
+def check_attempt(answer, status, ran, **more):
     async def main():
         async with raw_worker(answer) as address:
             end, _ = await attempt(address, **more)
@@ -43,11 +43,11 @@
     run(main())
 
 
-def says(raw, go_on=None):
+def responds(raw, keep_open=None):
     async def answer(number, head, reader, writer):
         writer.write(raw)
         await writer.drain()
-        return go_on
+        return keep_open
 
     return answer
 
@@ -63,7 +63,7 @@
         (http(b"", "503 No", "swiftwell-verdict: full\r\n"), Status.FULL, Ran.NEVER),
         (http(b"", "503 No", "swiftwell-verdict: draining\r\n"), Status.FULL, Ran.NEVER),
         (http(b"", "404 No", "swiftwell-verdict: miss\r\n"), Status.MISS, Ran.NEVER),
-        (http(b"", "503 No"), Status.ERROR, Ran.MAYBE),  # not the worker's own word
+        (http(b"", "503 No"), Status.ERROR, Ran.MAYBE),  # without the worker's own verdict
         (http(b"", "500 No"), Status.ERROR, Ran.MAYBE),
         (http(b"", "302 No"), Status.ERROR, Ran.MAYBE),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\nabcdef", Status.ERROR, Ran.MAYBE),
@@ -71,20 +71,20 @@
     ],
 )
 def test_what_an_answer_proves(raw, status, ran):
-    case(says(raw), status, ran)
+    check_attempt(responds(raw), status, ran)
 
 
 def test_a_reset_in_the_middle_of_an_answer_may_have_run():
-    case(says(http()[:-2], go_on=False), Status.RESET, Ran.MAYBE)
+    check_attempt(responds(http()[:-2], keep_open=False), Status.RESET, Ran.MAYBE)
 
 
 def test_a_connection_ended_without_an_answer_may_have_run():
-    case(says(b"", go_on=False), Status.RESET, Ran.MAYBE)
+    check_attempt(responds(b"", keep_open=False), Status.RESET, Ran.MAYBE)
 
 
 def test_an_answer_too_large_is_told_so():
     async def main():
-        async with raw_worker(says(http(bytes(2_000)))) as address:
+        async with raw_worker(responds(http(bytes(2_000)))) as address:
             end, _ = await attempt(address)
             assert (end.status, end.ran, end.too_large) == (Status.ERROR, Ran.MAYBE, True)
 
@@ -92,7 +92,7 @@
 
 
 def test_a_worker_that_accepts_and_never_answers_may_have_run():
-    case(silent, Status.TIMEOUT, Ran.MAYBE, abandon_after=0.2)
+    check_attempt(silent, Status.TIMEOUT, Ran.MAYBE, abandon_after=0.2)
 
 
 def test_connect_refused_never_ran():
@@ -119,10 +119,10 @@
 
 def test_a_pooled_connection_that_the_worker_closed_is_not_used():
     async def main():
-        async with raw_worker(says(http(), go_on=False)) as address:
+        async with raw_worker(responds(http(), keep_open=False)) as address:
             end, link = await attempt(address)
             assert end.status is Status.OK
-            await asyncio.sleep(0.1)  # the worker's closing has been seen
+            await asyncio.sleep(0.1)  # the link has noticed the close
             end, _ = await attempt(address, 1, link=link)
             assert end.status is Status.OK
 
@@ -130,14 +130,12 @@
 
 
 def test_a_connection_closed_as_the_request_goes_out_may_have_run():
-    # The design's hardest line: the peer has closed, we have not seen it yet, the kernel takes our bytes.
+    # The hardest case: the peer has closed, we have not noticed yet, and the kernel takes our bytes.
     async def main():
-        async with raw_worker(says(http())) as address:
+        async with raw_worker(responds(http())) as address:
             _, link = await attempt(address)
             connection = link._workers[address].idle[0]
-            connection.stream.socket.shutdown(
-                1
-            )  # the peer sees our end and closes; nothing is read meanwhile
+            connection.stream.socket.shutdown(1)  # the peer closes in turn; we read nothing meanwhile
             link._loop.call_later(0, lambda: None)
             end, _ = await attempt(address, 1, link=link)
             assert (end.status, end.ran) == (Status.RESET, Ran.MAYBE)
@@ -147,7 +145,7 @@
 
 def test_a_worker_that_answers_twice_loses_its_connection_and_no_call_gets_the_second():
     async def main():
-        async with raw_worker(says(http(b"one") + http(b"two"))) as address:
+        async with raw_worker(responds(http(b"one") + http(b"two"))) as address:
             end, link = await attempt(address)
             assert end.body == b"one" and link.sizes()["worker_connections"] == 0
             end, _ = await attempt(address, 1, link=link)
@@ -159,13 +157,13 @@
 def test_connections_to_one_worker_are_bounded():
     async def main():
         async with raw_worker(silent) as address:
-            ends = []
-            link = Link("gw", LinkBounds(connections=2), ends.append, lambda *a, **k: None)
+            results = []
+            link = Link("gw", LinkBounds(connections=2), results.append, lambda *a, **k: None)
             for number in range(4):
                 link.start(ports.Start(f"c{number}", 0, address, trigger(), 1_000_000))
             await asyncio.sleep(0.2)
-            # Not as a connection that failed: the module would take the worker for one that starts again.
-            assert [e.status for e in ends] == [Status.FULL] * 2
+            # Not CONNECT_FAILED: the module would take the worker for a restarting one.
+            assert [e.status for e in results] == [Status.FULL] * 2
             assert link.sizes()["worker_connections"] == 2
             link.close()
 
@@ -179,19 +177,19 @@
             writer.write(http())
 
         async with raw_worker(slowly) as address:
-            ends = []
-            link = Link("gw", LinkBounds(connections=8), ends.append, lambda *a, **k: None)
+            results = []
+            link = Link("gw", LinkBounds(connections=8), results.append, lambda *a, **k: None)
             for number in range(6):
                 link.start(ports.Start(f"c{number}", 0, address, trigger(), 1_000_000))
             await asyncio.sleep(0.2)
-            assert link.sizes()["worker_connections"] == 6 and len(ends) == 4
+            assert link.sizes()["worker_connections"] == 6 and len(results) == 4
             link.limit_connections(1)
             await asyncio.sleep(0.1)
-            assert link.sizes()["worker_connections"] == 2  # both at work
+            assert link.sizes()["worker_connections"] == 2  # both are busy
             await asyncio.sleep(0.4)
-            assert link.sizes()["worker_connections"] == 1 and [e.status for e in ends] == [Status.OK] * 6
+            assert link.sizes()["worker_connections"] == 1 and [e.status for e in results] == [Status.OK] * 6
             link.limit_connections(0)
-            assert link.max_connections == 1  # with none nobody could be served
+            assert link.max_connections == 1  # with 0 no call could be served
             link.limit_connections(100)
             assert link.max_connections == 8
             link.close()
@@ -206,7 +204,7 @@
         heads.append(head)
         writer.write(http())
 
-    case(keep, Status.OK, Ran.YES)
+    check_attempt(keep, Status.OK, Ran.YES)
     assert "\r\nx: y" not in heads[0] and "swiftwell-key: k%0D%0Ax%3A%20y" in heads[0]
     assert heads[0].startswith("POST /run/f/%C3%BC%20x HTTP/1.1")
 
@@ -229,11 +227,11 @@
 
 def test_an_unsafe_call_that_was_turned_away_goes_to_another_worker(tmp_path):
     async def main():
-        full = says(http(b"", "503 No", "swiftwell-verdict: full\r\n"))
+        full = responds(http(b"", "503 No", "swiftwell-verdict: full\r\n"))
         async with raw_worker(full) as a, raw_worker(serving) as b, gateway(tmp_path, [a, b]) as gw:
             console = await Console().connect(gw.listener_port)
             kinds = [(await console.call("consigna", f"k{n}"))[0] for n in range(6)]
-            # The module may give up one that it holds for the worker's sake; none may be failed.
+            # The module may refuse a call that it holds back for the worker's sake; none may fail.
             assert kinds.count("served") >= 4 and "failed" not in kinds
 
     run(main())
