--- a/tests/test_connection_floods.py
+++ b/tests/test_connection_floods.py
@@ -1,4 +1,4 @@
-"""Floods of client connections and processes without descriptors: real sockets, each shortage forced."""
+"""Floods of client connections and lack of descriptors, on real sockets; each shortage is forced."""
 
 import asyncio
 import os
@@ -22,7 +22,7 @@
     until,
 )
 from socketbench import run
-from test_endings import reset_at_close
+from test_endings import reset_on_close
 from test_platform import Process, id_
 from tornado.iostream import IOStream
 
@@ -33,26 +33,26 @@
 
 
 def connect(port, count):
-    """So many connections that the kernel holds for the router: its loop has no turn meanwhile."""
+    """Open connections that stay in the backlog, as the router's event loop does not run meanwhile."""
     return [socket.create_connection((HOST, port)) for _ in range(count)]
 
 
 def close(sockets):
-    for one in sockets:
-        one.close()
+    for sock in sockets:
+        sock.close()
 
 
 def test_one_iteration_of_the_loop_accepts_a_bounded_number(tmp_path):
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port], sockets=512) as node:
             waiting = connect(node.port, 3 * acceptor.ACCEPT_BATCH)
-            seen, turns = [], []
+            accepted_per_iteration, turns = [], []
             asyncio.get_running_loop().call_later(0.001, turns.append, 1)
             while node.front.counts["accepted"] < len(waiting):
                 before = node.front.counts["accepted"]
                 await asyncio.sleep(0)
-                seen.append(node.front.counts["accepted"] - before)
-            assert 0 < max(seen) <= acceptor.ACCEPT_BATCH
+                accepted_per_iteration.append(node.front.counts["accepted"] - before)
+            assert 0 < max(accepted_per_iteration) <= acceptor.ACCEPT_BATCH
             close(waiting)
 
     run(main())
@@ -98,7 +98,7 @@
             node.front.max_connections = 2
             first, second = connect(node.port, 2)
             await until(lambda: len(node.front.pending) == 2)
-            # No await until the eviction: the router has not seen these bytes when it looks for a victim.
+            # No await until the eviction: the router has not read these bytes when it chooses a connection.
             first.sendall(request(1, fields(id_(1))))
             third = connect(node.port, 1)
             node.front._acceptor.accept_all()
@@ -163,13 +163,13 @@
             late, spare = socket.socket(), os.dup(0)
             late.setblocking(False)
             limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-            os.close(spare)  # the lowest free descriptor: none is left below it
+            os.close(spare)  # the lowest free descriptor: there is none below it
             resource.setrlimit(resource.RLIMIT_NOFILE, (spare, limits[1]))
             try:
                 late.connect_ex((HOST, node.port))
                 late.sendall(FIRST_BYTES)
                 await until(lambda: node.front.counts["exhausted"] and len(node.front.connections) == 2)
-                assert node.front.counts["exhausted"] == 1  # it paused, and then found the freed one
+                assert node.front.counts["exhausted"] == 1  # it paused, and then used the freed one
                 assert node.front.counts["evicted"] == 1 and not node.front.pending
                 assert (await usual.ask(2, fields(id_(3))))[0] == 200
             finally:
@@ -184,12 +184,12 @@
 
     async def main():
         async def serve(service, number, writer):
-            writer.write(frame(2, 2, [(2, two.port, 0)]) if number < 2 else frame(2))
+            writer.write(frame(2, 2, [(2, second.port, 0)]) if number < 2 else frame(2))
             await writer.drain()
 
-        async with Worker(echo) as one, Worker(echo) as two, Journal(serve) as journal:
+        async with Worker(echo) as first, Worker(echo) as second, Journal(serve) as journal:
             port = journal.port
-            with Process(tmp_path, document([one.port], port, sockets)) as process:
+            with Process(tmp_path, document([first.port], port, sockets)) as process:
                 resource.prlimit(process.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
                 assert await process.up() == 200
                 await until(lambda: journal.asked)
@@ -197,20 +197,22 @@
                 for writer in journal.writers:
                     writer.transport.abort()
                 silent = connect(process.port, 2 * divide(sockets).clients)
-                again = Journal(serve)
-                again.server = await asyncio.start_server(again._serve, HOST, port, reuse_address=True)
-                await until(lambda: again.asked, 10.0)
+                restarted = Journal(serve)
+                restarted.server = await asyncio.start_server(
+                    restarted._serve, HOST, port, reuse_address=True
+                )
+                await until(lambda: restarted.asked, 10.0)
                 for number in range(3):
                     async with Front(process.port) as late:
                         assert (await late.ask(1, fields(id_(1 + number))))[0] == 200
                 close(silent)
-                again.server.close()
+                restarted.server.close()
 
     run(main())
 
 
 def test_a_stop_ends_idle_connections_some_at_a_time(tmp_path):
-    """Hundreds at once held up answers for as long as that took, on a part of a core."""
+    """On a share of a core, closing hundreds at once delayed all responses."""
 
     async def main():
         async with router(tmp_path, [9]) as node:
@@ -221,7 +223,7 @@
             node.front.drain()
             for left in (2, 1, 0):
                 node.front.close_idle()
-                idle = [one for one in node.front.connections if one.idle]
+                idle = [connection for connection in node.front.connections if connection.idle]
                 assert len(idle) == left * lis.DRAIN_BATCH
             for sock in held:
                 sock.close()
@@ -230,7 +232,7 @@
 
 
 def test_a_connection_that_ended_is_freed_without_the_cyclic_collector(tmp_path):
-    """Thousands of them a minute left their buffers to full collections, which held the loop for 0.15 s."""
+    """Thousands per minute were left to full garbage collections, which stalled the loop for 0.15 s."""
 
     async def says_nothing(service, number, writer):
         await asyncio.sleep(30)
@@ -249,7 +251,7 @@
                     await until(lambda: not sent or node.front.connections)
                     await until(lambda: not node.front.open_ids)
                     if reset:
-                        reset_at_close(sock)
+                        reset_on_close(sock)
                     sock.close()
                     await until(lambda: len(node.front) == 0)
                 await asyncio.sleep(0)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,7 @@
-"""Instants in which something ends while something is owed: real sockets, each crossing forced.
+"""Races between the end of a connection, client, worker or process and pending work, on real sockets.
 
-Rows of docs/notes/endings.md name these tests.  Nothing here waits for a time to pass: a gate, a full buffer
-or a planted call holds one side until the other has done what is to be crossed.
+The rows of docs/notes/endings.md name these tests.  No test waits for time to pass: an unreachable worker, a
+full buffer or a patched call holds back one side until the other side has acted.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 )  # fmt: skip
 from socketbench import run
 from test_platform import Process, id_
-from test_resp import ID, OTHER, Play
+from test_resp import ID, OTHER, LinkHarness
 
 from swiftwell.discovery import journal
 from swiftwell.discovery.journal import Client, Frames
@@ -48,17 +48,17 @@
 from swiftwell.workers.resp import connection as rc
 
 
-def patient(dial_ms=8_000.0, deadline_ms=6_000.0, **more):
-    """Settings under which a connection may take long to come up, and a call may wait for it."""
-    found = settings(**more)
-    for band in found["lanes"]:
+def long_deadline_settings(dial_ms=8_000.0, deadline_ms=6_000.0, **more):
+    """Settings that let a connection take long to open, and a call wait for it."""
+    platform_settings = settings(**more)
+    for band in platform_settings["lanes"]:
         band |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
-    found["limits"] |= {"dial-timeout-ms": dial_ms}
-    return found
+    platform_settings["limits"] |= {"dial-timeout-ms": dial_ms}
+    return platform_settings
 
 
-class Gate(Worker):
-    """A worker whose connections don't come up until it opens: its queue of them is full."""
+class UnreachableWorker(Worker):
+    """A worker whose full backlog keeps connections from being established until `open` is called."""
 
     async def __aenter__(self):
         self.socket = socket.socket()
@@ -79,11 +79,11 @@
 
 
 @asynccontextmanager
-async def waiting_at_a_gate(folder):
-    """A gate, a router and a front whose request 1 waits for a connection to that gate."""
+async def waiting_for_connection(folder):
+    """An unreachable worker, a router, and a front whose request 1 waits for a connection to that worker."""
     async with (
-        Gate(echo) as gate,
-        router(folder, [gate.port], settings=patient()) as node,
+        UnreachableWorker(echo) as gate,
+        router(folder, [gate.port], settings=long_deadline_settings()) as node,
         Front(node.port) as front,
     ):
         front.writer.write(request(1, fields(id_(1), wait="6000")))
@@ -91,34 +91,34 @@
         yield gate, node, front
 
 
-def leave(front, how, number=1):
-    """A client gives up."""
+def abandon_request(front, how, number=1):
+    """A client abandons a request."""
     if how == "abort":
         front.writer.write(codec.record(codec.ABORT, number, b""))
     elif how == "close":
         front.writer.close()
     else:
-        reset_at_close(front.writer.get_extra_info("socket"))
+        reset_on_close(front.writer.get_extra_info("socket"))
         front.writer.transport.abort()
 
 
-def reset_at_close(sock):
+def reset_on_close(sock):
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-# Clients that left while their request waited.
+# Clients that leave while their request waits.
 
 
 @pytest.mark.parametrize("how", ["abort", "close", "reset"])
 def test_a_request_left_while_its_connection_comes_up_late_is_not_sent(tmp_path, how):
     async def main():
-        async with waiting_at_a_gate(tmp_path) as (gate, node, front):
-            leave(front, how)
+        async with waiting_for_connection(tmp_path) as (gate, node, front):
+            abandon_request(front, how)
             await until(lambda: node.engine.counts["left"])
             await gate.open()
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
-            assert [words[1].decode() for words in gate.runs()] == [id_(2)]
+            assert [arguments[1].decode() for arguments in gate.runs()] == [id_(2)]
             assert not node.link._jobs and node.engine.open == 0
 
     run(main())
@@ -130,23 +130,23 @@
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node:
             sock = socket.create_connection((HOST, node.port))
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # each write is sent at once
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # send each write at once
             if opened:
                 sock.sendall(FIRST_BYTES)
             await until(lambda: node.front.connections if opened else node.front.pending)
-            # No await from here to the end of the block: the router finds all of it in one turn of the loop.
+            # No await from here to the end of the block: the router receives all of it in one loop iteration.
             sock.sendall(request(1, fields(id_(1))))
             if how == "abort":
                 sock.sendall(codec.record(codec.ABORT, 1, b""))
             else:
                 if how == "reset":
-                    reset_at_close(sock)
+                    reset_on_close(sock)
                 sock.close()
-            if how != "reset":  # a reset may take the bytes along, and then nothing was ever taken
+            if how != "reset":  # a reset may discard the bytes, so that no request is received
                 await until(lambda: node.engine.counts["left"])
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2))))[0] == 200
-            assert [words[1].decode() for words in worker.runs()] == [id_(2)]
+            assert [arguments[1].decode() for arguments in worker.runs()] == [id_(2)]
             assert node.engine.open == 0 and not node.front.open_ids
             sock.close()
 
@@ -156,67 +156,68 @@
 @pytest.mark.parametrize("how", ["abort", "close"])
 def test_a_request_left_while_the_module_holds_it_is_not_sent(tmp_path, how):
     async def main():
-        async with Worker(echo) as worker, router(tmp_path, [], settings=patient()) as node:
+        async with Worker(echo) as worker, router(tmp_path, [], settings=long_deadline_settings()) as node:
             async with Front(node.port) as front:
                 front.writer.write(request(1, fields(id_(1), wait="6000")))
-                await until(lambda: node.engine.router.calls)  # held: no worker is known
-                leave(front, how)
+                await until(lambda: node.engine.router.calls)  # queued, as no worker is known
+                abandon_request(front, how)
                 await until(lambda: node.engine.counts["left"])
-            node._listed(next(iter(_frames().feed(frame(2, 1, [(1, worker.port, 0)])))))
+            node._listed(next(iter(new_frames().feed(frame(2, 1, [(1, worker.port, 0)])))))
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
-            assert [words[1].decode() for words in worker.runs()] == [id_(2)]
+            assert [arguments[1].decode() for arguments in worker.runs()] == [id_(2)]
 
     run(main())
 
 
 def test_an_attempt_that_waits_for_a_judged_worker_is_taken_back_and_moves_nowhere():
-    # Its first connection is reset while it comes up; while a second shows whether the process lives, the
-    # client leaves.
+    # The first connection is reset while it is being opened.  The client leaves during the liveness check.
     async def main():
-        async with Gate(echo) as gate:
-            play = Play({"w": gate.port}, connect_s=8.0)
-            open_, opened = play.link._open, []
+        async with UnreachableWorker(echo) as gate:
+            harness = LinkHarness({"w": gate.port}, connect_s=8.0)
+            open_, opened = harness.link._open, []
 
             async def reset_while_it_comes_up(at):
                 raise ConnectionResetError(errno.ECONNRESET, "Connection reset by peer")
 
             def first_is_reset(name, state, address):
-                one = open_(name, state, address)
+                connection = open_(name, state, address)
                 if not opened:
-                    one._stream.connect = reset_while_it_comes_up
-                opened.append(one)
-                return one
-
-            play.link._open = first_is_reset
-            play.start()
-            await until(lambda: play.link._workers["w"].liveness_check)
-            play.link.withdraw(ports.Withdraw("c1", 0))
-            assert [(end.status, end.ran) for end in play.told] == [(Status.MOOT, Ran.NEVER)]
+                    connection._stream.connect = reset_while_it_comes_up
+                opened.append(connection)
+                return connection
+
+            harness.link._open = first_is_reset
+            harness.start()
+            await until(lambda: harness.link._workers["w"].liveness_check)
+            harness.link.withdraw(ports.Withdraw("c1", 0))
+            assert [(end.status, end.ran) for end in harness.results] == [(Status.MOOT, Ran.NEVER)]
             await gate.open()
-            play.start(call="c2", id_=OTHER, left=8_000_000)
-            await play.ends(2)
-            assert [words[1].decode() for words in gate.runs()] == [OTHER]
-            play.link.close()
+            harness.start(call="c2", id_=OTHER, left=8_000_000)
+            await harness.ends(2)
+            assert [arguments[1].decode() for arguments in gate.runs()] == [OTHER]
+            harness.link.close()
 
     run(main())
 
 
-# Leave to send, asked for again where the bytes are handed over.
+# Permission to send is checked again when the bytes are handed to the kernel.
 
 
 @pytest.mark.parametrize("what", ["drains", "is gone", "left its address to another"])
 def test_nothing_goes_to_a_worker_that_changed_while_its_connection_came_up(tmp_path, what):
     async def main():
-        async with waiting_at_a_gate(tmp_path) as (gate, node, front):
-            (one,) = node.link._workers["s-00000001"].connections
+        async with waiting_for_connection(tmp_path) as (gate, node, front):
+            (connection,) = node.link._workers["s-00000001"].connections
             records = {"drains": [(1, gate.port, 1)], "is gone": [(1, gate.port, 2)]}.get(
                 what, [(1, gate.port, 2), (2, gate.port, 1)]
             )
-            node._listed(next(iter(_frames().feed(frame(2, 2, records)))))
+            node._listed(next(iter(new_frames().feed(frame(2, 2, records)))))
             await gate.open()
-            await until(lambda: one.connect_result.done())
-            assert one.connect_result.result()  # it did come up, so the request could have gone
+            await until(lambda: connection.connect_result.done())
+            assert (
+                connection.connect_result.result()
+            )  # it was established, so the request could have been sent
             status, _, _ = await front.answer(1)
             assert status == 503 and not gate.runs()
 
@@ -225,23 +226,26 @@
 
 def test_an_order_whose_time_is_up_is_not_sent_when_its_connection_comes_up():
     async def main():
-        async with Gate(echo) as gate:
-            play = Play({"w": gate.port}, connect_s=8.0, streams=1)
-            play.link.order(ports.Order(7, "w", KEY, 1, 10.0, 1))
-            play.link.recall(ports.Recall(7))
-            assert not play.told and not play.link._orders  # the engine has ended it already
+        async with UnreachableWorker(echo) as gate:
+            harness = LinkHarness({"w": gate.port}, connect_s=8.0, streams=1)
+            harness.link.order(ports.Order(7, "w", KEY, 1, 10.0, 1))
+            harness.link.recall(ports.Recall(7))
+            assert not harness.results and not harness.link._orders  # the engine has timed it out already
             await gate.open()
-            play.start(left=8_000_000)
-            await play.ends()
-            assert [words[0] for words in gate.got] == [b"FN"]
-            play.link.close()
+            harness.start(left=8_000_000)
+            await harness.ends()
+            assert [arguments[0] for arguments in gate.got] == [b"FN"]
+            harness.link.close()
 
     run(main())
 
 
 def test_the_engine_recalls_an_order_that_it_counts_as_unanswered(tmp_path):
     async def main():
-        async with Gate(echo) as gate, router(tmp_path, [gate.port], settings=patient()) as node:
+        async with (
+            UnreachableWorker(echo) as gate,
+            router(tmp_path, [gate.port], settings=long_deadline_settings()) as node,
+        ):
             await until(lambda: node.engine._wheel)
             node.engine._now = node.clock.now_us()
             order = Order("s-00000001", KEY, 1, node.engine._now, node.engine._now + 10_000)
@@ -249,26 +253,26 @@
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: not node.engine._orders)
             await until(lambda: not node.link._orders)
-            (one,) = node.link._workers["s-00000001"].connections
+            (connection,) = node.link._workers["s-00000001"].connections
             await gate.open()
-            await until(lambda: one.connect_result.done())
+            await until(lambda: connection.connect_result.done())
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
-            assert [words[0] for words in gate.got] == [b"FN"]
+            assert [arguments[0] for arguments in gate.got] == [b"FN"]
 
     run(main())
 
 
 def test_an_order_that_may_take_long_is_not_forgotten_before_its_time(tmp_path):
-    # The settings may grant loads more than the link's own bound: its answer was then nobody's.
+    # The settings may allow loads more time than the link's own limit; the link then dropped their answers.
     family = settings()["family-info"] | {"order-timeout-ms": 25_000.0}
 
     async def main():
         go = asyncio.Event()
 
-        async def slow(worker, writer, words):
+        async def slow(worker, writer, arguments):
             await go.wait()
-            await echo(worker, writer, words)
+            await echo(worker, writer, arguments)
 
         async with (
             Worker(slow) as worker,
@@ -278,7 +282,7 @@
             node.link._enqueue = lambda end: ends.append(end)
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: worker.got)
-            node.link._orders[9].started_s -= 20.0  # so long ago
+            node.link._orders[9].started_s -= 20.0  # as if sent 20 s ago
             node.link.sweep()
             assert not ends
             go.set()
@@ -296,111 +300,111 @@
     async def main():
         took, go = [], asyncio.Event()
 
-        async def stands_still(worker, writer, words):
-            took.append(words[1])
+        async def stands_still(worker, writer, arguments):
+            took.append(arguments[1])
             await go.wait()
 
         async with Worker(stands_still) as worker:
-            play = Play({"w": worker.port}, connections=1, streams=32)
-            play.start("c0", id_=id_(0), body=b"")
+            harness = LinkHarness({"w": worker.port}, connections=1, streams=32)
+            harness.start("c0", id_=id_(0), body=b"")
             await until(lambda: took)
-            (one,) = play.link._workers["w"].connections
-            one._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32_768)
+            (connection,) = harness.link._workers["w"].connections
+            connection._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32_768)
             worker.writers[0].transport.pause_reading()
             count = 0
-            while not one._blocked:  # bounded: a kernel holds some MB at most
+            while not connection._blocked:  # ends, as kernel buffers hold a few MB at most
                 count += 1
                 assert count < 400
-                play.start(f"c{count}", id_=id_(count), body=b"x" * 16_384)
-                if len(one.jobs) == 32:
-                    for job in [job for job in one.jobs.values() if job.written]:
-                        one.jobs.pop(job.id)  # as if answered; the worker has them all the same
-            waiting = [job for job in one.jobs.values() if not job.written]
+                harness.start(f"c{count}", id_=id_(count), body=b"x" * 16_384)
+                if len(connection.jobs) == 32:
+                    for job in [job for job in connection.jobs.values() if job.written]:
+                        connection.jobs.pop(job.id)  # as if answered, although the worker still has them
+            waiting = [job for job in connection.jobs.values() if not job.written]
             left = ports.Withdraw(f"c{count + 1}", 0)
-            play.start(f"c{count + 1}", id_=OTHER)
-            assert not one.jobs[OTHER.encode()].written
-            play.link.withdraw(left)
-            assert play.told[-1].status is Status.MOOT and play.told[-1].ran is Ran.NEVER
-            play.start(f"c{count + 2}", id_=ID)
+            harness.start(f"c{count + 1}", id_=OTHER)
+            assert not connection.jobs[OTHER.encode()].written
+            harness.link.withdraw(left)
+            assert harness.results[-1].status is Status.MOOT and harness.results[-1].ran is Ran.NEVER
+            harness.start(f"c{count + 2}", id_=ID)
             worker.writers[0].transport.resume_reading()
             go.set()
             await until(lambda: ID.encode() in took)
             assert OTHER.encode() not in took and len(waiting) <= 1
-            play.link.close()
+            harness.link.close()
 
     run(main())
 
 
 class Holding(Worker):
-    """Keeps its first request; any other is served."""
+    """A worker that holds its first request and serves all others."""
 
     def __init__(self):
         super().__init__(self._hold)
         self.held = None
 
-    async def _hold(self, worker, writer, words):
-        if words[0] == b"FN" and self.held is None:
-            self.held = writer, words[1]
+    async def _hold(self, worker, writer, arguments):
+        if arguments[0] == b"FN" and self.held is None:
+            self.held = writer, arguments[1]
         else:
-            await echo(worker, writer, words)
+            await echo(worker, writer, arguments)
 
-    def end_held(self, word):
-        """The held request's attempt ends without having served it."""
+    def end_held(self, result):
+        """End the attempt of the held request without serving it."""
         writer, id_ = self.held
-        if word == "reset":
-            reset_at_close(writer.get_extra_info("socket"))
+        if result == "reset":
+            reset_on_close(writer.get_extra_info("socket"))
             writer.transport.abort()
         else:
-            writer.write(said(id_, word))
+            writer.write(said(id_, result))
 
 
 @pytest.mark.parametrize("stall_s", [0.0, 0.2])
-@pytest.mark.parametrize("word", [b"WAIT", b"BROKE", b"LACK", "reset"])
+@pytest.mark.parametrize("result", [b"WAIT", b"BROKE", b"LACK", "reset"])
 @pytest.mark.parametrize("how", ["abort", "close", "reset", "stays"])
 def test_no_further_attempt_begins_for_a_client_that_left_as_the_first_one_ended(
-    tmp_path, how, word, stall_s
+    tmp_path, how, result, stall_s
 ):
     async def main():
         async with (
-            Holding() as one,
-            Holding() as two,
-            router(tmp_path, [one.port, two.port], settings=patient(deadline_ms=2_400.0)) as node,
+            Holding() as worker_a,
+            Holding() as worker_b,
+            router(
+                tmp_path, [worker_a.port, worker_b.port], settings=long_deadline_settings(deadline_ms=2_400.0)
+            ) as node,
         ):
             sock = socket.create_connection((HOST, node.port))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.sendall(request(1, fields(id_(1), wait="2400")))
-            await until(lambda: one.held or two.held)
-            first, second = (one, two) if one.held else (two, one)
-            second.held = second.held or (None, b"")  # what comes there is served
-            # No await from here to the end of the stall: the router finds all of it in one turn of its loop.
-            first.end_held(word)
+            await until(lambda: worker_a.held or worker_b.held)
+            first, second = (worker_a, worker_b) if worker_a.held else (worker_b, worker_a)
+            second.held = second.held or (None, b"")  # so that it serves all requests
+            # No await from here to the end of the stall: the router receives all of it in one loop iteration.
+            first.end_held(result)
             if how == "abort":
                 sock.sendall(codec.record(codec.ABORT, 1, b""))
             elif how != "stays":
                 if how == "reset":
-                    reset_at_close(sock)
+                    reset_on_close(sock)
                 sock.close()
             time.sleep(stall_s)
-            if (
-                how == "stays"
-            ):  # so that the others say something: one that waits is served by a second attempt
-                await until(lambda: len(one.runs()) + len(two.runs()) == 2)
+            if how == "stays":  # the control case: a client that waits is served by a second attempt
+                await until(lambda: len(worker_a.runs()) + len(worker_b.runs()) == 2)
             else:
                 await until(lambda: node.engine.open == 0 and not node.front.open_ids)
                 async with Front(node.port) as other:
                     assert (await other.ask(1, fields(id_(2))))[0] == 200
-                ran = [words[1].decode() for words in (*one.runs(), *two.runs())]
+                ran = [arguments[1].decode() for arguments in (*worker_a.runs(), *worker_b.runs())]
                 assert sorted(ran) == [id_(1), id_(2)]
             sock.close()
 
     run(main())
 
 
-# Ends of connections of clients.
+# Ends of client connections.
 
 
-async def _unread(node, body):
-    """A client that does not read, so that its answer lies in the router's buffers; its two ends."""
+async def unread_response(node, body):
+    """A client that does not read, so that its response stays in the router's buffers; returns both ends."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     sock.setblocking(False)
@@ -409,47 +413,47 @@
     whole = request(1, fields(id_(77)), body)
     await loop.sock_sendall(sock, whole[:50])
     await until(lambda: node.front.connections)
-    one = list(node.front.connections)[-1]
-    one.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
+    connection = list(node.front.connections)[-1]
+    connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     await loop.sock_sendall(sock, whole[50:])
-    await until(lambda: not node.front.open_ids and one.session.had_request)
-    await until(one.stream.writing)
-    return sock, one
+    await until(lambda: not node.front.open_ids and connection.session.had_request)
+    await until(connection.stream.writing)
+    return sock, connection
 
 
-async def _rest(sock):
-    """All that comes until the end of the connection; raises where it is reset."""
-    loop, found = asyncio.get_running_loop(), b""
+async def read_to_end(sock):
+    """All bytes until the end of the stream; raises if the connection is reset."""
+    loop, received = asyncio.get_running_loop(), b""
     while data := await loop.sock_recv(sock, 65_536):
-        found += data
-    return found
+        received += data
+    return received
 
 
-async def _large(worker, writer, words):
-    writer.write(said(words[1], b"DONE", b"why=reused", b"y" * 200_000))
+async def large_response(worker, writer, arguments):
+    writer.write(said(arguments[1], b"DONE", b"why=reused", b"y" * 200_000))
 
 
 def test_large_answers_of_one_turn_reach_a_client_that_reads(tmp_path, monkeypatch):
     monkeypatch.setattr(fc, "MAX_UNSENT_BYTES", 300_000)
 
     async def main():
-        count = 3  # of 200,000 bytes each: together more than may wait for a client that does not read
+        count = 3  # of 200,000 bytes each, which is above the limit for clients that do not read
         async with (
-            Worker(_large) as worker,
+            Worker(large_response) as worker,
             router(tmp_path, [worker.port]) as node,
             Front(node.port) as front,
         ):
             front.writer.write(FIRST_BYTES)
             await until(lambda: node.front.connections)
-            (one,) = node.front.connections
-            flush, gathered = one.flush, []
+            (connection,) = node.front.connections
+            flush, gathered = connection.flush, []
 
-            def together():  # the turn's end comes once all have been gathered
-                gathered.append(sum(map(len, one._output)))
+            def flush_once_all_are_queued():
+                gathered.append(sum(map(len, connection._output)))
                 if gathered[-1] > count * 200_000:
                     flush()
 
-            one.flush = together
+            connection.flush = flush_once_all_are_queued
             for number in range(1, count + 1):
                 front.writer.write(request(number, fields(id_(number))))
             assert await front.read(lambda: len(front.done) == count)
@@ -461,15 +465,15 @@
 
 def test_a_connection_with_an_answer_on_its_way_is_not_evicted(tmp_path):
     async def main():
-        async with Worker(_large) as worker, router(tmp_path, [worker.port]) as node:
-            sock, one = await _unread(node, b"")
+        async with Worker(large_response) as worker, router(tmp_path, [worker.port]) as node:
+            sock, connection = await unread_response(node, b"")
             node.front.max_connections = 1
             async with Front(node.port) as other:
-                assert await other.closed()  # no room: nobody is idle
-            assert node.front.counts["evicted"] == 0 and one in node.front.connections
+                assert await other.closed()  # no room, as no connection is idle
+            assert node.front.counts["evicted"] == 0 and connection in node.front.connections
             node.front.max_connections = 8
-            reading = asyncio.ensure_future(_rest(sock))
-            await until(lambda: one.idle)
+            reading = asyncio.ensure_future(read_to_end(sock))
+            await until(lambda: connection.idle)
             sock.shutdown(socket.SHUT_WR)
             assert (await reading).count(b"y") >= 200_000
             sock.close()
@@ -478,14 +482,14 @@
 
 
 def test_an_end_takes_no_answer_from_a_client_that_has_not_read_it(tmp_path):
-    # Bytes that nobody read turn a close into a reset, and that throws away what was on its way.
+    # Unread bytes turn a close into a reset, which discards data in transit.
     async def main():
-        async with Worker(_large) as worker, router(tmp_path, [worker.port]) as node:
-            sock, one = await _unread(node, b"")
+        async with Worker(large_response) as worker, router(tmp_path, [worker.port]) as node:
+            sock, connection = await unread_response(node, b"")
             ending = asyncio.ensure_future(node.front.shutdown(time.monotonic() + 20))
-            await until(lambda: one in node.front.closing)
-            sock.send(codec.begin(2))  # crosses the end
-            assert (await _rest(sock)).count(b"y") >= 200_000
+            await until(lambda: connection in node.front.closing)
+            sock.send(codec.begin(2))  # crosses the close
+            assert (await read_to_end(sock)).count(b"y") >= 200_000
             sock.close()
             await ending
             assert not node.front.closing
@@ -494,34 +498,34 @@
 
 
 def test_a_request_that_was_read_but_not_looked_at_is_not_taken_from_an_evicted_connection(tmp_path):
-    # It ran, although its client had been sent away to ask again: twice for an unsafe one.
+    # The request ran although its client had been told to retry, so that an unsafe call ran twice.
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             front.writer.write(FIRST_BYTES)
             await until(lambda: node.front.connections)
-            (one,) = node.front.connections
-            read, idle = one.stream.read_bytes, []
+            (connection,) = node.front.connections
+            read, idle = connection.stream.read_bytes, []
 
-            def cut_before_the_look(_):
-                idle.append(one.idle)
-                node.front._close_now(one)
+            def close_before_processing(_):
+                idle.append(connection.idle)
+                node.front._close_now(connection)
 
             def reading(*how, **more):
                 future = read(*how, **more)
                 if (
-                    one.session.had_request
-                ):  # the second read; before its reader awaits it, so this comes first
-                    future.add_done_callback(cut_before_the_look)
+                    connection.session.had_request
+                ):  # added to the second read before `run` awaits it, so it is called first
+                    future.add_done_callback(close_before_processing)
                 return future
 
-            one.stream.read_bytes = reading
+            connection.stream.read_bytes = reading
             assert (await front.ask(1, fields(id_(1))))[0] == 200
             front.writer.write(request(2, fields(id_(2), "consigna")))
             assert await front.closed()
-            assert idle == [False]  # no eviction would have chosen it
+            assert idle == [False]  # an eviction would not have chosen it
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(3))))[0] == 200
-            assert [words[1].decode() for words in worker.runs()] == [id_(1), id_(3)]
+            assert [arguments[1].decode() for arguments in worker.runs()] == [id_(1), id_(3)]
             assert node.engine.open == 0 and not node.front.open_ids
 
     run(main())
@@ -534,10 +538,10 @@
             whole = request(1, fields(id_(1)))
             front.writer.write(FIRST_BYTES)
             await until(lambda: node.front.connections)
-            (one,) = node.front.connections
-            one.silent_sweeps = MAX_SILENT_SWEEPS
+            (connection,) = node.front.connections
+            connection.silent_sweeps = MAX_SILENT_SWEEPS
             front.writer.write(whole[:50])
-            await until(lambda: not one.session.idle)
+            await until(lambda: not connection.session.idle)
             node.front.sweep()
             front.writer.write(whole[50:])
             assert (await front.answer(1))[0] == 200
@@ -547,14 +551,14 @@
 
 def test_open_requests_of_a_connection_that_broke_are_answered_and_not_sent(tmp_path):
     async def main():
-        async with waiting_at_a_gate(tmp_path) as (gate, node, front):
+        async with waiting_for_connection(tmp_path) as (gate, node, front):
             front.writer.write(b"no FastCGI at all")
-            assert (await front.answer(1))[0] == 502  # a failure: it promises nothing
+            assert (await front.answer(1))[0] == 502  # a failure, as the outcome is unknown
             assert await front.closed()
             await gate.open()
             async with Front(node.port) as other:
                 assert (await other.ask(1, fields(id_(2), wait="6000")))[0] == 200
-            assert [words[1].decode() for words in gate.runs()] == [id_(2)]
+            assert [arguments[1].decode() for arguments in gate.runs()] == [id_(2)]
 
     run(main())
 
@@ -563,11 +567,11 @@
     async def main():
         held = []
 
-        async def holds_the_first(worker, writer, words):
-            if words[0] == b"FN" and not held:
-                held.append(words)
+        async def holds_the_first(worker, writer, arguments):
+            if arguments[0] == b"FN" and not held:
+                held.append(arguments)
             else:
-                await echo(worker, writer, words)
+                await echo(worker, writer, arguments)
 
         async with (
             Worker(holds_the_first) as worker,
@@ -581,40 +585,40 @@
                 codec.record(codec.ABORT, 2, b"") + request(2, fields(id_(2))) + request(3, fields(id_(3)))
             )
             assert await front.read(lambda: 2 in front.done)
-            assert front.done.pop(2) == b""  # the abort's END_REQUEST, then the new request's answer
+            assert front.done.pop(2) == b""  # END_REQUEST of the abort, then the response to the new request
             assert (await front.answer(2))[0] == 200
-            assert (await front.answer(3))[0] == 200  # the others of the connection live
+            assert (await front.answer(3))[0] == 200  # other requests of the connection are served
 
     run(main())
 
 
-# The end of the process.
+# Shutdown of the process.
 
 
 def test_sigterm_with_deadlines_over_three_seconds_answers_everything_before_sigkill(tmp_path):
     async def main():
-        async def never(worker, writer, words):
+        async def never(worker, writer, arguments):
             pass
 
         async with Worker(never) as worker:
-            long = patient(deadline_ms=20_000.0)
-            with Process(tmp_path, document([worker.port], settings=long)) as one:
-                assert await one.up() == 200
-                async with Front(one.port) as front:
+            long = long_deadline_settings(deadline_ms=20_000.0)
+            with Process(tmp_path, document([worker.port], settings=long)) as process:
+                assert await process.up() == 200
+                async with Front(process.port) as front:
                     front.writer.write(request(1, fields(id_(1), wait="20000")))
                     front.writer.write(request(2, fields(id_(2), "consigna", wait="20000")))
                     half = request(3, fields(id_(3), wait="20000"))
                     front.writer.write(half[:40])
                     await until(lambda: len(worker.runs()) == 2)
                     began = time.monotonic()
-                    one.process.send_signal(signal.SIGTERM)
+                    process.process.send_signal(signal.SIGTERM)
                     front.writer.write(half[40:])
                     answers = [(await front.answer(number))[0] for number in (1, 2, 3)]
-                    # It may have run, so for an unsafe one a refusal would be a lie.
+                    # It may have run, so an unsafe call must not be refused.
                     assert answers[1] == 502 and set(answers) <= {502, 503}
                     assert await front.closed()
-                assert await one.ended() == 0
-                # By the platform's word SIGKILL comes 3.7 s after SIGTERM here.  Far from 20 s in any case.
+                assert await process.ended() == 0
+                # The platform sends SIGKILL 3.7 s after SIGTERM here; in any case well below 20 s.
                 assert time.monotonic() - began < 19
 
     run(main())
@@ -640,7 +644,7 @@
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node:
             sock = socket.create_connection((HOST, node.port))
             sock.sendall(request(1, fields(id_(1))))
-            assert node.front.owes_answers()  # in this very turn: the loop has not seen it yet
+            assert node.front.owes_answers()  # in this loop iteration: the loop has not polled the socket yet
             sock.setblocking(False)
             await until(lambda: worker.runs())
             sock.shutdown(socket.SHUT_WR)
@@ -649,20 +653,20 @@
     run(main())
 
 
-# The watch of the list.
+# The client of the journal service.
 
 
-def _frames():
+def new_frames():
     return Frames(("east",), ("std", "big"))
 
 
-class Following:
-    """A client of the journal service in this process."""
+class RunningClient:
+    """A running client of the journal service in this process."""
 
     def __init__(self, port, tell):
         self.lines = []
         log = lambda *args, **fields: self.lines.append((args, fields))  # noqa: E731
-        self.client = Client((HOST, port), _frames, tell, log, random.Random(1))
+        self.client = Client((HOST, port), new_frames, tell, log, random.Random(1))
         self.client.feed.held = 1
 
     async def __aenter__(self):
@@ -679,17 +683,17 @@
             if number == 1:
                 writer.write(frame(2, 2, [(7, 80, 0)]))
 
-        told = []
+        events = []
 
-        def once_wrong(event):
-            told.append(event.number)
-            if len(told) == 1:
+        def fail_once(event):
+            events.append(event.number)
+            if len(events) == 1:
                 raise RuntimeError("planted")
 
-        async with Journal(serve) as service, Following(service.port, once_wrong) as one:
-            await until(lambda: len(told) == 2)
-            assert told == [2, 2] and service.asked[:2] == [1, 1] and one.client.feed.held == 2
-            assert any("planted" in fields.get("why", "") for _, fields in one.lines)
+        async with Journal(serve) as service, RunningClient(service.port, fail_once) as running:
+            await until(lambda: len(events) == 2)
+            assert events == [2, 2] and service.asked[:2] == [1, 1] and running.client.feed.held == 2
+            assert any("planted" in fields.get("why", "") for _, fields in running.lines)
 
     run(main())
 
@@ -702,11 +706,11 @@
         async def serve(service, number, writer):
             writer.write(frame(2, 2, [(7, 80, 0)]))
 
-        told = []
-        async with Journal(serve) as service, Following(1, told.append) as one:
-            await until(lambda: one.lines)  # refused, and resting
-            one.client.move((HOST, service.port))
-            await until(lambda: told)
+        events = []
+        async with Journal(serve) as service, RunningClient(1, events.append) as running:
+            await until(lambda: running.lines)  # refused, and backing off
+            running.client.move((HOST, service.port))
+            await until(lambda: events)
 
     run(main())
 
@@ -721,16 +725,18 @@
             writers.append(writer)
             writer.write(frame(1))
 
-        told = []
-        async with Journal(serve) as service, Following(service.port, told.append) as one:
+        events = []
+        async with Journal(serve) as service, RunningClient(service.port, events.append) as running:
             await until(lambda: writers)
-            await until(lambda: one.client._stream is not None)
+            await until(lambda: running.client._stream is not None)
             writers[0].write(frame(2, 2, [(7, 80, 0)]))
-            time.sleep(0.6)  # the whole process stands still, twice as long as silence takes
-            await until(lambda: told)
+            time.sleep(0.6)  # the whole process stalls, for twice SILENT_S
+            await until(lambda: events)
             assert service.asked == [1]
 
-    uvloop.run(asyncio.wait_for(main(), 20))  # the loop of `run`: it looks at its timers before its sockets
+    uvloop.run(
+        asyncio.wait_for(main(), 20)
+    )  # uvloop, as in production: it runs its timers before it polls its sockets
 
 
 def test_a_frame_that_trickles_for_ever_is_silence(monkeypatch):
@@ -746,9 +752,9 @@
                 writer.write(b"x")
                 await asyncio.sleep(0.01)
 
-        told = []
-        async with Journal(serve) as service, Following(service.port, told.append):
-            await until(lambda: told)
+        events = []
+        async with Journal(serve) as service, RunningClient(service.port, events.append):
+            await until(lambda: events)
             assert service.asked == [1, 1]
 
     run(main())
@@ -761,24 +767,24 @@
                 writer.write(frame(3))
             elif len(service.asked) == 2:
                 writer.write(frame(3) + frame(3) + frame(2, 2, [(7, 80, 0)]))
-                await until(lambda: told)
+                await until(lambda: events)
                 writer.write(frame(3) + frame(3, 2, [(7, 80, 1)]))
 
-        told = []
-        async with Journal(serve) as service, Following(service.port, told.append) as one:
-            await until(lambda: len(told) == 2)
-            assert service.asked == [1, 1] and one.client.feed.held == 3
+        events = []
+        async with Journal(serve) as service, RunningClient(service.port, events.append) as running:
+            await until(lambda: len(events) == 2)
+            assert service.asked == [1, 1] and running.client.feed.held == 3
 
     run(main())
 
 
 def test_known_events_with_a_gap_are_left_to_the_service():
-    told, lines = [], []
-    client = Client((HOST, 1), _frames, told.append, lambda *a, **f: lines.append(f), random.Random(1))
+    events, lines = [], []
+    client = Client((HOST, 1), new_frames, events.append, lambda *a, **f: lines.append(f), random.Random(1))
     worker = journal.Worker("s-00000001", (HOST, 80), next(iter(journal._STATES)), "east", "std", 0, 1.0, 0.0)
     whole = journal.Event(1, True, (worker,))
     client.start([whole, journal.Event(3, False, (worker,))])
-    assert [event.number for event in told] == [1] and client.feed.held == 1 and lines
+    assert [event.number for event in events] == [1] and client.feed.held == 1 and lines
 
 
 def test_a_whole_list_with_a_lower_number_is_a_repeat():
@@ -787,7 +793,7 @@
     assert not feed.take(journal.Event(3, True, ())) and feed.held == 5
 
 
-# Turns and tables.
+# Engine steps and tables.
 
 
 def test_an_input_that_fails_takes_nothing_else_of_its_turn_along(tmp_path):
@@ -810,7 +816,9 @@
 
 def test_a_start_that_fails_half_way_ends_its_attempt(tmp_path):
     async def main():
-        long = patient(deadline_ms=60_000.0)  # far beyond the test: no time-out of the call's ends it instead
+        long = long_deadline_settings(
+            deadline_ms=60_000.0
+        )  # longer than the test, so that no time-out ends the call
         async with (
             Worker(echo) as worker,
             router(tmp_path, [worker.port], settings=long) as node,
@@ -818,13 +826,13 @@
         ):
             start, failed = node.link.start, []
 
-            def once_wrong(act):
+            def fail_once(act):
                 if not failed:
                     failed.append(act)
                     raise RuntimeError("planted")
                 start(act)
 
-            node.link.start = once_wrong
+            node.link.start = fail_once
             assert (await front.ask(1, fields(id_(1), "consigna", wait="60000")))[0] == 502  # it may have run
             assert (await front.ask(2, fields(id_(2), wait="60000")))[0] == 200
             await until(lambda: node.engine.open == 0)
@@ -834,9 +842,9 @@
 
 def test_an_abandoned_attempt_that_the_link_does_not_know_ends_all_the_same():
     async def main():
-        play = Play({})
-        play.link.abandon(ports.Abandon("c9", 0, Status.TIMEOUT))
-        (end,) = play.told
+        harness = LinkHarness({})
+        harness.link.abandon(ports.Abandon("c9", 0, Status.TIMEOUT))
+        (end,) = harness.results
         assert (end.id, end.status, end.ran) == ("c9", Status.TIMEOUT, Ran.MAYBE)
 
     run(main())
@@ -846,45 +854,48 @@
     monkeypatch.setattr(rc, "MAX_KNOWN_IDS", 4)
 
     async def main():
-        async def holds_one(worker, writer, words):
-            if words[1] != ID.encode():
-                await echo(worker, writer, words)
+        async def holds_one(worker, writer, arguments):
+            if arguments[1] != ID.encode():
+                await echo(worker, writer, arguments)
 
         async with Worker(holds_one) as worker:
-            play = Play({"w": worker.port}, connections=1)
-            play.start("c0", id_=ID)
+            harness = LinkHarness({"w": worker.port}, connections=1)
+            harness.start("c0", id_=ID)
             for number in range(1, 9):
-                play.start(f"c{number}", id_=id_(number))
-                await play.ends(number)
-            (one,) = play.link._workers["w"].connections
-            assert ID.encode() in one.known_ids and len(one.known_ids) <= 5
-            play.start("c0", id_=ID, number=1)  # a second attempt: no connection may carry both
-            await play.ends(9)
-            assert (play.told[-1].status, play.told[-1].ran) == (Status.MOOT, Ran.NEVER)
-            assert len([words for words in worker.runs() if words[1] == ID.encode()]) == 1
-            play.link.close()
+                harness.start(f"c{number}", id_=id_(number))
+                await harness.ends(number)
+            (connection,) = harness.link._workers["w"].connections
+            assert ID.encode() in connection.known_ids and len(connection.known_ids) <= 5
+            harness.start("c0", id_=ID, number=1)  # a second attempt, which must not share the connection
+            await harness.ends(9)
+            assert (harness.results[-1].status, harness.results[-1].ran) == (Status.MOOT, Ran.NEVER)
+            assert len([arguments for arguments in worker.runs() if arguments[1] == ID.encode()]) == 1
+            harness.link.close()
 
     run(main())
 
 
 def test_a_keyed_request_takes_its_token_to_the_worker(tmp_path):
-    # Without it no worker could drop a repeat, and the deployment's workers took each for nobody's.
+    # Without the token no worker can drop a repeat, and the workers of one deployment treated every call as
+    # unknown.
     async def main():
-        found = settings()
-        found["lanes"].append(
+        document_settings = settings()
+        document_settings["lanes"].append(
             {"name": "asiento", "effect": "deduplicated", "target-ms": 400.0, "deadline-ms": 1500.0,
              "value": 2.0, "dedup-scope": "all", "memory-span-ms": 5000.0}
         )  # fmt: skip
         async with (
             Worker(echo) as worker,
-            router(tmp_path, [worker.port], settings=found) as node,
+            router(tmp_path, [worker.port], settings=document_settings) as node,
             Front(node.port) as front,
         ):
-            told = fields(id_(1), "asiento", HTTP_REQ_TOKEN="6b037a6fa73e6f4d554ecefb7d593b22")
-            assert (await front.ask(1, told))[0] == 200
+            request_fields = fields(id_(1), "asiento", HTTP_REQ_TOKEN="6b037a6fa73e6f4d554ecefb7d593b22")
+            assert (await front.ask(1, request_fields))[0] == 200
             assert (await front.ask(2, fields(id_(2))))[0] == 200
-            passed = [dict(one.split(b"=") for one in words[2].split(b",")) for words in worker.runs()]
-            assert [one.get(b"dedupe") for one in passed] == [b"6b037a6fa73e6f4d554ecefb7d593b22", None]
+            passed = [
+                dict(entry.split(b"=") for entry in arguments[2].split(b",")) for arguments in worker.runs()
+            ]
+            assert [entry.get(b"dedupe") for entry in passed] == [b"6b037a6fa73e6f4d554ecefb7d593b22", None]
 
     run(main())
 
@@ -894,20 +905,24 @@
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
             front.writer.write(FIRST_BYTES)
             await until(lambda: node.front.connections)
-            (one,) = node.front.connections
-            read = one.stream.read_bytes
+            (connection,) = node.front.connections
+            read = connection.stream.read_bytes
 
             def reading(*how, **more):
                 future = read(*how, **more)
-                if one.session.had_request:  # a stop whose time is up, between the second read and its look
-                    future.add_done_callback(lambda _: one.finish())
+                if (
+                    connection.session.had_request
+                ):  # as at the deadline of a shutdown, between the second read and its processing
+                    future.add_done_callback(lambda _: connection.finish())
                 return future
 
-            one.stream.read_bytes = reading
+            connection.stream.read_bytes = reading
             assert (await front.ask(1, fields(id_(1))))[0] == 200
             front.writer.write(request(2, fields(id_(2))))
             assert (await front.answer(2))[0] == 502
             assert await front.closed()
-            assert [words[1].decode() for words in worker.runs()] == [id_(1)] and node.engine.open == 0
+            assert [arguments[1].decode() for arguments in worker.runs()] == [
+                id_(1)
+            ] and node.engine.open == 0
 
     run(main())
--- a/tests/test_keyed_and_spoilt.py
+++ b/tests/test_keyed_and_spoilt.py
@@ -5,9 +5,9 @@
 
 from platformbench import Front, Journal, Worker, echo, fields, frame, router, said, until
 from socketbench import run
-from test_endings import Following, Gate, _frames, patient
+from test_endings import RunningClient, UnreachableWorker, long_deadline_settings, new_frames
 from test_platform import id_
-from test_resp import ID, OTHER, Play
+from test_resp import ID, OTHER, LinkHarness
 
 from swiftwell.discovery import journal
 from swiftwell.fronts.trigger import Ran
@@ -18,7 +18,7 @@
 
 def keyed():
     """Settings with a class whose repeats all workers drop for `WINDOW_S`."""
-    found = patient()
+    found = long_deadline_settings()
     found["lanes"].append(
         {"name": "asiento", "effect": "deduplicated", "target-ms": 4000.0, "deadline-ms": 6000.0,
          "value": 2.0, "dedup-scope": "all", "memory-span-ms": WINDOW_S * 1e3}
@@ -33,13 +33,13 @@
         async def fails(worker, writer, words):
             if words[0] == b"FN":
                 began.append(time.monotonic())
-                (whole,) = _frames().feed(frame(2, 1, [(2, gate.port, 0)]))
+                (whole,) = new_frames().feed(frame(2, 1, [(2, gate.port, 0)]))
                 node._listed(whole)  # from now on there is only the other worker, which is at a gate
                 writer.write(said(words[1], b"BROKE"))  # it may have run
 
         async with (
             Worker(fails) as worker,
-            Gate(echo) as gate,
+            UnreachableWorker(echo) as gate,
             router(tmp_path, [worker.port], settings=keyed()) as node,
             Front(node.port) as front,
         ):
@@ -61,12 +61,12 @@
                 writer.write(said(worker.runs()[0][1], b"DONE", b"-", b"good") + b"*4\r\n$-1\r\n")
 
         async with Worker(play) as worker:
-            link = Play({"w": worker.port})
+            link = LinkHarness({"w": worker.port})
             link.start("c1", id_=ID)
             await until(lambda: worker.runs())
             link.start("c2", id_=OTHER)
             await link.ends(2)
-            told = {end.id: (end.status, end.ran, end.body) for end in link.told}
+            told = {end.id: (end.status, end.ran, end.body) for end in link.results}
             assert told["c1"] == (Status.OK, Ran.YES, b"good")
             assert told["c2"][1] is Ran.MAYBE
             link.link.close()
@@ -86,7 +86,7 @@
                 await writer.drain()
                 await asyncio.sleep(0.05)
 
-        async with Journal(slow) as service, Following(service.port, told.append):
+        async with Journal(slow) as service, RunningClient(service.port, told.append):
             await until(lambda: told, 10.0)
             assert len(told[0].workers) == 3_200 and service.asked == [1]
 
--- a/tests/test_left_clients.py
+++ b/tests/test_left_clients.py
@@ -11,7 +11,7 @@
 
 import uvloop
 from platformbench import Front, Worker, echo, fields, request, router, said, until
-from test_endings import patient, reset_at_close, waiting_at_a_gate
+from test_endings import long_deadline_settings, reset_on_close, waiting_for_connection
 from test_platform import id_
 from test_request_deadlines import connect
 
@@ -38,7 +38,7 @@
         sock.sendall(codec.record(codec.ABORT, 2, b""))
         return
     if how == "reset":
-        reset_at_close(sock)
+        reset_on_close(sock)
     sock.close()
 
 
@@ -79,7 +79,7 @@
 
 def test_no_attempt_goes_out_for_a_client_that_left_as_its_connection_came_up_in_a_stall(tmp_path):
     async def main():
-        async with waiting_at_a_gate(tmp_path) as (gate, node, front):
+        async with waiting_for_connection(tmp_path) as (gate, node, front):
             own = socket.socket(fileno=os.dup(front.writer.get_extra_info("socket").fileno()))
             own.shutdown(socket.SHUT_RDWR)  # the router has not looked at it
             own.close()
@@ -100,7 +100,7 @@
 
         async with (
             Worker(answers) as worker,
-            router(tmp_path, [worker.port], settings=patient()) as node,
+            router(tmp_path, [worker.port], settings=long_deadline_settings()) as node,
             Front(node.port) as front,
         ):
             sock = connect(node.port)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Clauses of the operators' pages at limits that no other file plays: real sockets, each limit forced."""
+"""Behaviour at limits that the operators' documents promise and no other file tests, on real sockets."""
 
 import asyncio
 import errno
@@ -12,7 +12,7 @@
 from test_failing_calls import believed
 from test_platform import Process, id_
 from test_request_deadlines import connect
-from test_resp import OTHER, Play
+from test_resp import OTHER, LinkHarness
 
 from swiftwell import interface as io
 from swiftwell.fronts.fastcgi import codec
@@ -22,16 +22,16 @@
 
 
 def failing(monkeypatch, method, code, times):
-    """A method of Python's socket class fails so many times; the list of its failures."""
-    true, failed = getattr(socket.socket, method), []
+    """Make a method of Python's socket class fail a number of times; returns the list of failures."""
+    original, failed = getattr(socket.socket, method), []
 
-    def planted(one, *args, **more):
-        if len(failed) < times and not one.getblocking():
-            failed.append(one)
+    def fail_first(sock, *args, **more):
+        if len(failed) < times and not sock.getblocking():
+            failed.append(sock)
             raise OSError(code, "planted")
-        return true(one, *args, **more)
+        return original(sock, *args, **more)
 
-    monkeypatch.setattr(socket.socket, method, planted)
+    monkeypatch.setattr(socket.socket, method, fail_first)
     return failed
 
 
@@ -43,7 +43,9 @@
             await until(lambda: node.front.open_ids)
             node.front.max_connections = 1
             sock = connect(node.port)
-            sock.sendall(request(1, fields(id_(2))))  # read by nobody: its connection finds no room
+            sock.sendall(
+                request(1, fields(id_(2)))
+            )  # unread so far; there is no descriptor for its connection
             sock.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(sock, 4_096)
             assert b"Status: 503" in answer
@@ -61,7 +63,7 @@
             failed = failing(monkeypatch, "accept", code, 3)
             sock = connect(node.port)
             sock.sendall(request(1, fields(id_(1))))
-            assert node.front.owes_answers()  # a stop's look at the backlog: one call of its accepting
+            assert node.front.owes_answers()  # accepts the backlog once, as a shutdown does
             assert len(failed) == 3 and node.front.counts["accepted"] == 1
             sock.setblocking(False)
             assert b"Status: 200" in await asyncio.get_running_loop().sock_recv(sock, 4_096)
@@ -73,8 +75,8 @@
 @pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH])
 def test_a_connection_that_breaks_without_a_reset_is_judged_and_its_worker_lives(tmp_path, monkeypatch, code):
     async def main():
-        async def never(worker, writer, words):
-            writer.write(b"*4\r\n")  # some bytes, so that the router reads, and fails
+        async def never(worker, writer, arguments):
+            writer.write(b"*4\r\n")  # some bytes, so that the router reads, which fails
 
         async with (
             Worker(never) as worker,
@@ -83,14 +85,14 @@
         ):
             front.writer.write(request(1, fields(id_(1), "consigna")))
             await until(lambda: node.link.open)
-            (one,) = node.link._workers["s-00000001"].connections
-            true = one._stream.read_from_fd
+            (connection,) = node.link._workers["s-00000001"].connections
+            original = connection._stream.read_from_fd
 
             def broken(buffer):
-                one._stream.read_from_fd = true
+                connection._stream.read_from_fd = original
                 raise OSError(code, "planted")
 
-            one._stream.read_from_fd = broken
+            connection._stream.read_from_fd = broken
             assert (await front.answer(1))[0] == 502 and believed(node)
             assert len(worker.runs()) == 1
 
@@ -118,11 +120,11 @@
 
 def test_the_router_listens_on_its_own_address_only(tmp_path):
     async def main():
-        with Process(tmp_path, document([9])) as one:
-            assert await one.up() == 200
+        with Process(tmp_path, document([9])) as process:
+            assert await process.up() == 200
             with pytest.raises(ConnectionRefusedError):
-                socket.create_connection(("127.0.0.2", one.port))
-            socket.create_connection((HOST, one.port)).close()
+                socket.create_connection(("127.0.0.2", process.port))
+            socket.create_connection((HOST, process.port)).close()
 
     run(main())
 
@@ -130,42 +132,42 @@
 def test_an_unused_connection_to_a_worker_is_closed_before_the_worker_does_and_not_sooner():
     async def main():
         async with Worker(echo) as worker:
-            play = Play({"w": worker.port}, idle_s=30.0)
-            play.start()
-            await play.ends()
-            (one,) = play.link._workers["w"].connections
-            one.last_used_s -= 0.69 * 30.0  # as if so much time had passed
-            play.link.sweep()
-            assert play.link.open == 1
-            one.last_used_s -= 0.02 * 30.0
-            play.link.sweep()
-            await until(lambda: play.link.open == 0)
-            play.link.close()
+            harness = LinkHarness({"w": worker.port}, idle_s=30.0)
+            harness.start()
+            await harness.ends()
+            (connection,) = harness.link._workers["w"].connections
+            connection.last_used_s -= 0.69 * 30.0  # as if this much time had passed
+            harness.link.sweep()
+            assert harness.link.open == 1
+            connection.last_used_s -= 0.02 * 30.0
+            harness.link.sweep()
+            await until(lambda: harness.link.open == 0)
+            harness.link.close()
 
     run(main())
 
 
 def test_while_the_list_is_overdue_one_connection_to_a_worker_is_kept_by_a_word_in_time():
-    """It shows that the process is the one that the list named."""
+    """The connection proves that the process is the one in the list."""
 
     async def main():
         async with Worker(echo) as worker:
-            play = Play({"w": worker.port}, idle_s=30.0)
-            play.link._keeps_alive = lambda: True
-            play.link._credit = 2.0  # so that the second request has a connection of its own
-            play.start()
-            play.start(call="c2", id_=OTHER)
-            await play.ends(2)
-            connections = play.link._workers["w"].connections
+            harness = LinkHarness({"w": worker.port}, idle_s=30.0)
+            harness.link._keeps_alive = lambda: True
+            harness.link._credit = 2.0  # so that the second request gets a connection of its own
+            harness.start()
+            harness.start(call="c2", id_=OTHER)
+            await harness.ends(2)
+            connections = harness.link._workers["w"].connections
             assert len(connections) == 2
-            for one in connections:
-                one.last_used_s -= 0.71 * 30.0  # as if so much time had passed
-            play.link.sweep()
-            await until(lambda: play.link.open == 1)
+            for connection in connections:
+                connection.last_used_s -= 0.71 * 30.0  # as if this much time had passed
+            harness.link.sweep()
+            await until(lambda: harness.link.open == 1)
             await until(lambda: worker.got[-1][0] == b"HELO")
-            play.link.sweep()
-            assert play.link.open == 1 and play.link.counts["kept_alive"] == 1
-            play.link.close()
+            harness.link.sweep()
+            assert harness.link.open == 1 and harness.link.counts["kept_alive"] == 1
+            harness.link.close()
 
     run(main())
 
@@ -173,22 +175,22 @@
 def test_the_hand_over_asks_for_proof_on_every_path_and_only_questions_pass_without():
     async def main():
         async with Worker(echo) as worker:
-            play = Play({"w": worker.port})
-            play.start()  # over a connection that comes up
-            await play.ends()
-            play.link._serves = lambda worker: False
-            play.start(call="c2", id_=OTHER)  # at once, over one that stands
-            play.link.order(ports.Order(1, "w", "f", 1, 10.0, 1))
-            play.link.order(ports.Order(2, "w", "f", 0, 10.0, 1))
-            play.link.flush()
-            await until(lambda: len(play.told) == 4)
-            ends = [(type(end).__name__, end.status) for end in play.told[1:]]
-            assert sorted(ends) == [
+            harness = LinkHarness({"w": worker.port})
+            harness.start()  # over a connection that is being opened
+            await harness.ends()
+            harness.link._serves = lambda worker: False
+            harness.start(call="c2", id_=OTHER)  # over an established connection
+            harness.link.order(ports.Order(1, "w", "f", 1, 10.0, 1))
+            harness.link.order(ports.Order(2, "w", "f", 0, 10.0, 1))
+            harness.link.flush()
+            await until(lambda: len(harness.results) == 4)
+            statuses = [(type(end).__name__, end.status) for end in harness.results[1:]]
+            assert sorted(statuses) == [
                 ("AttemptEnd", Status.MOOT), ("OrderEnd", Status.OK), ("OrderEnd", Status.MOOT),
             ]  # fmt: skip
-            assert [words[0] for words in worker.got] == [b"FN", b"SPAWN"]
+            assert [arguments[0] for arguments in worker.got] == [b"FN", b"SPAWN"]
             assert worker.got[1][2].endswith(b"instances=0")
-            play.link.close()
+            harness.link.close()
 
     run(main())
 
@@ -241,11 +243,11 @@
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(sock, request(1, fields(id_(1))))
             await until(lambda: node.front.connections and not node.front.open_ids and worker.runs())
-            (one,) = node.front.connections
-            await until(lambda: one.idle)
-            one.finish()
+            (connection,) = node.front.connections
+            await until(lambda: connection.idle)
+            connection.finish()
             while await loop.sock_recv(sock, 4_096):
-                pass  # the answer, then our end
+                pass  # the response, then our end of the stream
             for _ in range(2):
                 await loop.sock_sendall(sock, request(2, fields(id_(2))))
                 assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
@@ -256,11 +258,11 @@
 
 def test_a_second_answer_after_a_miss_is_nobodys(tmp_path):
     async def main():
-        async def lacks_then_answers(worker, writer, words):
-            if words[0] == b"FN" and len(worker.runs()) == 1:
-                writer.write(said(words[1], b"LACK") + said(words[1], b"DONE", b"-", b"stale"))
+        async def lacks_then_answers(worker, writer, arguments):
+            if arguments[0] == b"FN" and len(worker.runs()) == 1:
+                writer.write(said(arguments[1], b"LACK") + said(arguments[1], b"DONE", b"-", b"stale"))
             else:
-                await echo(worker, writer, words)
+                await echo(worker, writer, arguments)
 
         async with (
             Worker(lacks_then_answers) as worker,
--- a/tests/test_start_and_reload.py
+++ b/tests/test_start_and_reload.py
@@ -5,7 +5,7 @@
 
 from platformbench import HOST, Worker, document, echo, router, until
 from socketbench import run
-from test_endings import Following
+from test_endings import RunningClient
 from test_platform import Process
 
 
@@ -24,7 +24,7 @@
     """It went on for ever, and its process with it: SIGHUP and the end of a stop in one turn."""
 
     async def main():
-        async with Following(9, lambda event: None) as following:  # nobody listens there
+        async with RunningClient(9, lambda event: None) as following:  # nobody listens there
             await until(lambda: following.client._failures > 3)
             await until(lambda: following.client._stream is None)
             following.client.move((HOST, 8))
