--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -215,9 +215,8 @@
             node._listed(next(iter(new_frames().feed(frame(2, 2, records)))))
             await gate.open()
             await until(lambda: connection.connect_result.done())
-            assert (
-                connection.connect_result.result()
-            )  # it was established, so the request could have been sent
+            # It was established, so the request could have been sent.
+            assert connection.connect_result.result()
             status, _, _ = await front.answer(1)
             assert status == 503 and not gate.runs()
 
@@ -512,9 +511,8 @@
 
             def reading(*how, **more):
                 future = read(*how, **more)
-                if (
-                    connection.session.had_request
-                ):  # added to the second read before `run` awaits it, so it is called first
+                # Added to the second read before `run` awaits it, so it is called first.
+                if connection.session.had_request:
                     future.add_done_callback(close_before_processing)
                 return future
 
@@ -734,9 +732,8 @@
             await until(lambda: events)
             assert service.asked == [1]
 
-    uvloop.run(
-        asyncio.wait_for(main(), 20)
-    )  # uvloop, as in production: it runs its timers before it polls its sockets
+    # As in production, uvloop runs its timers before it polls its sockets.
+    uvloop.run(asyncio.wait_for(main(), 20))
 
 
 def test_a_frame_that_trickles_for_ever_is_silence(monkeypatch):
@@ -816,9 +813,8 @@
 
 def test_a_start_that_fails_half_way_ends_its_attempt(tmp_path):
     async def main():
-        long = long_deadline_settings(
-            deadline_ms=60_000.0
-        )  # longer than the test, so that no time-out ends the call
+        # Longer than the test, so that no time-out ends the call.
+        long = long_deadline_settings(deadline_ms=60_000.0)
         async with (
             Worker(echo) as worker,
             router(tmp_path, [worker.port], settings=long) as node,
@@ -910,9 +906,8 @@
 
             def reading(*how, **more):
                 future = read(*how, **more)
-                if (
-                    connection.session.had_request
-                ):  # as at the deadline of a shutdown, between the second read and its processing
+                # As at the deadline of a shutdown, between the second read and its processing.
+                if connection.session.had_request:
                     future.add_done_callback(lambda _: connection.finish())
                 return future
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -43,9 +43,8 @@
             await until(lambda: node.front.open_ids)
             node.front.max_connections = 1
             sock = connect(node.port)
-            sock.sendall(
-                request(1, fields(id_(2)))
-            )  # unread so far; there is no descriptor for its connection
+            # Unread so far; there is no descriptor for its connection.
+            sock.sendall(request(1, fields(id_(2))))
             sock.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(sock, 4_096)
             assert b"Status: 503" in answer
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -414,9 +414,8 @@
             for number in range(45):
                 harness.start(f"c{number}", id_=f"{number:016x}", worker="w" if number else "v")
             await until(lambda: len(first.got) + len(second.got) == 45)
-            assert (
-                first.connections == 1 and second.connections == 3
-            )  # the first one costs no credit, each further one 20 requests
+            # The first one costs no credit, each further one 20 requests.
+            assert first.connections == 1 and second.connections == 3
 
     run(main())
 
