--- a/swiftwell/fronts/fastcgi/request.py
+++ b/swiftwell/fronts/fastcgi/request.py
@@ -18,9 +18,8 @@
 MAX_MEMORY_MB = 1_048_576.0  # where the settings give no machine
 _TOKEN = re.compile(rb"[0-9A-Za-z._-]{1,64}").fullmatch  # sent to workers unquoted: no field separators
 _HEX = re.compile(rb"[0-9a-f]{16}").fullmatch
-_NUMBER = re.compile(
-    rb"[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?"
-).fullmatch  # no sign, no nan, no inf
+# No sign, no nan, no inf.
+_NUMBER = re.compile(rb"[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?").fullmatch
 
 
 class Rejected(ValueError):
@@ -70,10 +69,10 @@
 
 
 def _name(name: str, text: bytes | None, known: Iterable[str]) -> str:
-    found = (text or b"").decode("utf-8", "replace")
-    if found not in known:
+    decoded = (text or b"").decode("utf-8", "replace")
+    if decoded not in known:
         raise Rejected(404, f"{name} is not known")
-    return found
+    return decoded
 
 
 def _hex(name: str, text: bytes | None) -> str:
@@ -83,13 +82,13 @@
 
 
 def _tags(text: bytes | None) -> dict[bytes, bytes]:
-    found: dict[bytes, bytes] = {}
+    tags: dict[bytes, bytes] = {}
     for part in () if text is None else text.split(b";"):
         name, sign, value = part.partition(b":")
-        if not sign or name in found:
+        if not sign or name in tags:
             raise Rejected(400, "X-Tags can't be read")
-        found[name] = value
-    return found
+        tags[name] = value
+    return tags
 
 
 def read(
@@ -117,19 +116,19 @@
         else (tenant or b"").decode("latin-1")
     )
     deadline_ms = contract.deadlines_us[band] / 1_000
-    wait = _number("Req-Wait-Ms", fields.get(b"HTTP_REQ_WAIT_MS"), 0.001, MAX_WAIT_DEADLINES * deadline_ms)
-    cost = _number("Req-Cost", fields.get(b"HTTP_REQ_COST"), 0.0, MAX_COST_MS, 0.0)
+    wait_ms = _number("Req-Wait-Ms", fields.get(b"HTTP_REQ_WAIT_MS"), 0.001, MAX_WAIT_DEADLINES * deadline_ms)
+    cost_ms = _number("Req-Cost", fields.get(b"HTTP_REQ_COST"), 0.0, MAX_COST_MS, 0.0)
     token = fields.get(b"HTTP_REQ_TOKEN", b"")
     if token and not _TOKEN(token):
         raise Rejected(400, "Req-Token can't be passed on")
     tags = _tags(fields.get(b"HTTP_X_TAGS"))
-    memory = _number("memory_mb", tags.get(b"memory_mb"), 0.0, contract.memory_mb, 0.0)
+    memory_mb = _number("memory_mb", tags.get(b"memory_mb"), 0.0, contract.memory_mb, 0.0)
     lanes = _number("lanes", tags.get(b"lanes"), 1, MAX_LANES, 1.0)
-    load = _number("load_ms", tags.get(b"load_ms"), 0.0, MAX_LOAD_MS, 0.0)
+    load_ms = _number("load_ms", tags.get(b"load_ms"), 0.0, MAX_LOAD_MS, 0.0)
     if lanes != int(lanes):
         raise Rejected(400, "lanes is no whole number")
     return Trigger(
-        source, ref, band, owner, function, id_, body, int(wait * 1_000) - age_us,
+        source, ref, band, owner, function, id_, body, int(wait_ms * 1_000) - age_us,
         again=fields.get(b"HTTP_REQ_RETRY") == b"1", token=token.decode(),
-        memory_mb=memory, lanes=int(lanes), hint_us=int(cost * 1_000), load_us=int(load * 1_000),
+        memory_mb=memory_mb, lanes=int(lanes), hint_us=int(cost_ms * 1_000), load_us=int(load_ms * 1_000),
     )  # fmt: skip
