--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -185,7 +185,7 @@
     gateway.journal = gateway._journal()
     gateway._ledger_folder.mkdir(parents=True)
     (gateway._ledger_folder / f"{plain(raw)['segment']:08d}.log").touch()
-    gateway.link.hold(True)
+    gateway.link.set_paused(True)
     state.activate(gateway)
     await asyncio.sleep(0)  # adopted connections begin to read
     again, _ = state.take(gateway)
