--- a/swiftwell/fronts/fastcgi/request.py
+++ b/swiftwell/fronts/fastcgi/request.py
@@ -42,7 +42,7 @@
     def of(settings: io.Settings) -> Contract:
         """Take the contract from the settings."""
         return Contract(
-            {band.name: band.deadline_us for band in settings.classes},
+            {request_class.name: request_class.deadline_us for request_class in settings.classes},
             frozenset(tenant.name for tenant in settings.tenants),
             max((memory for _, memory in settings.kind_memory_mb), default=MAX_MEMORY_MB),
         )
@@ -103,7 +103,7 @@
     target = path(fields)
     if not target.startswith(PATH):
         raise Rejected(404, "no such path")
-    band = _name("class", target[len(PATH) :], contract.deadlines_us)
+    request_class = _name("class", target[len(PATH) :], contract.deadlines_us)
     length = fields.get(b"CONTENT_LENGTH")
     if length and (not length.isdigit() or len(length) > 9 or int(length) != len(body)):
         raise Rejected(400, "CONTENT_LENGTH is not the body's")
@@ -115,7 +115,7 @@
         if contract.tenants
         else (tenant or b"").decode("latin-1")
     )
-    deadline_ms = contract.deadlines_us[band] / 1_000
+    deadline_ms = contract.deadlines_us[request_class] / 1_000
     wait_ms = _number("Req-Wait-Ms", fields.get(b"HTTP_REQ_WAIT_MS"), 0.001, MAX_WAIT_DEADLINES * deadline_ms)
     cost_ms = _number("Req-Cost", fields.get(b"HTTP_REQ_COST"), 0.0, MAX_COST_MS, 0.0)
     token = fields.get(b"HTTP_REQ_TOKEN", b"")
@@ -128,7 +128,7 @@
     if lanes != int(lanes):
         raise Rejected(400, "lanes is no whole number")
     return Trigger(
-        source, ref, band, owner, function, id_, body, int(wait_ms * 1_000) - age_us,
-        again=fields.get(b"HTTP_REQ_RETRY") == b"1", token=token.decode(),
+        source, ref, request_class, owner, function, id_, body, int(wait_ms * 1_000) - age_us,
+        redelivered=fields.get(b"HTTP_REQ_RETRY") == b"1", token=token.decode(),
         memory_mb=memory_mb, lanes=int(lanes), hint_us=int(cost_ms * 1_000), load_us=int(load_ms * 1_000),
     )  # fmt: skip
--- a/swiftwell/fronts/host.py
+++ b/swiftwell/fronts/host.py
@@ -27,7 +27,7 @@
     def wall_ms(self) -> float:
         """Wall-clock time, anchored at the start of the process."""
 
-    def effect(self, band: str) -> Effect | None:
+    def effect(self, request_class: str) -> Effect | None:
         """The effect of repeating a call of a class; None for an unknown class."""
 
     def load(self) -> tuple[int, int]:
--- a/swiftwell/fronts/message_reader.py
+++ b/swiftwell/fronts/message_reader.py
@@ -49,7 +49,7 @@
     """
 
     tenant: str
-    band: str
+    request_class: str
     function: str
     key: str
     payload: bytes
@@ -129,9 +129,9 @@
         self.direct, self.sole_gateway = direct, sole_gateway
         self.skew = ClockSkew()
 
-    def deadline_ms(self, band: str) -> float:
+    def deadline_ms(self, request_class: str) -> float:
         """The deadline of a class; a minute for an unknown class."""
-        return self._deadlines.get(band, 0.0) or 60_000.0
+        return self._deadlines.get(request_class, 0.0) or 60_000.0
 
     def trigger(self, message: Message, source: str, ref: object, now_ms: float) -> Trigger:
         """Create the trigger of a message; raises InvalidMessage."""
@@ -141,7 +141,7 @@
         times = TimeFields(
             numbers.get("timeout-ms"), numbers.get("deadline-ms"), numbers.get("sent-ms"), message.expiry_ms
         )
-        limit_ms = self.deadline_ms(message.band)
+        limit_ms = self.deadline_ms(message.request_class)
         left = left_us(times, limit_ms, message.publisher, now_ms, self.direct, self.skew, message.fresh)
         hint = self._hint(message.function)
         attempt, unanswered = numbers.get("attempt") or 0, numbers.get("unanswered")
@@ -151,14 +151,15 @@
         return Trigger(
             source=source,
             ref=ref,
-            band=message.band,
+            request_class=message.request_class,
             tenant=message.tenant,
             function=message.function,
             key=message.key,
             payload=message.payload,
             left_us=left,
-            again=message.redelivered or attempt > 0,
-            elsewhere=not self.sole_gateway and (unanswered_before or message.maybe_seen_elsewhere),
+            redelivered=message.redelivered or attempt > 0,
+            maybe_seen_elsewhere=not self.sole_gateway
+            and (unanswered_before or message.maybe_seen_elsewhere),
             memory_mb=numbers.get("memory-mb") or hint.memory_mb,
             lanes=int(numbers.get("lanes") or hint.lanes),
             hint_us=hint.hint_us,
--- a/swiftwell/fronts/mqtt/contract.py
+++ b/swiftwell/fronts/mqtt/contract.py
@@ -115,7 +115,7 @@
             raise Rejected(reason, str(error)) from None
 
     def _read(self, message: Publish, source: str, ref: Ref, now_ms: float, fresh: bool) -> Trigger:
-        tenant, band, function = parse_address(message.topic, self._prefix, "/")
+        tenant, request_class, function = parse_address(message.topic, self._prefix, "/")
         if ref.version == V5:
             pairs = message.properties.get("user", [])
             told, payload = numeric_fields(pairs), message.payload
@@ -125,7 +125,7 @@
         expiry = message.properties.get("message_expiry")
         read = Message(
             tenant,
-            band,
+            request_class,
             function,
             ref.key,
             payload,
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -28,7 +28,7 @@
 from swiftwell.gateway.effects import Entry, Ledger, Record, Verdict
 from swiftwell.gateway.evidence import Evidence
 from swiftwell.gateway.orders import Order
-from swiftwell.gateway.wheel import Wheel
+from swiftwell.gateway.timer_wheel import TimerWheel
 from swiftwell.handover import snapshot
 from swiftwell.interface import Effect, Status
 
@@ -46,21 +46,21 @@
 class Observer(Protocol):
     """Who looks on at calls, and may turn triggers away ahead of the module (sites/watch)."""
 
-    def admits(self, trigger: Trigger) -> int:
+    def reject_for_us(self, trigger: Trigger) -> int:
         """0 to take it, else for how many us its publisher is sent away."""
         ...
 
-    def attempt(self, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def on_attempt_end(self, worker: str, request_class: str, status: Status, latency_us: int) -> None:
         """How an attempt ended."""
         ...
 
-    def answered(self, band: str, tenant: str, in_time: bool) -> None:
+    def on_answer(self, request_class: str, tenant: str, in_time: bool) -> None:
         """A call that was taken has its answer."""
         ...
 
 
 class Engine:
-    """One gateway's calls.  `told` goes to the module as it is; the rest is the engine's.
+    """One gateway's calls.  `settings` goes to the module as it is; the rest is the engine's.
 
     `margin_us`: time kept back from each trigger for the answer's way.  `max_open`: calls at a time.
     `ledger` None: no key outlives its call, where publishers name each try anew and no disk survives; what
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        told: io.Settings,
+        settings: io.Settings,
         ledger: Ledger | None,
         *,
         seed: int = 1,
@@ -78,26 +78,26 @@
         make: Callable[[io.Settings, int], Router] = Router,
         leases: WorkerLeases | None = None,
     ) -> None:
-        self._settings, self._seed, self._make, self._leases = told, seed, make, leases
+        self._settings, self._seed, self._make, self._leases = settings, seed, make, leases
         self._evidence: Evidence | None = None
         if leases is not None:  # what it emits comes ahead of what is decided by it
             self._evidence = Evidence(leases, lambda event: self._events.append(event), self._log)
         self.observer: Observer | None = None
         self._shed_us = 0  # how long the trigger at hand is sent away for
-        self._hidden: dict[str, frozenset[str]] = {}  # see `hide`
-        self._part_until = self._part_then = 0  # until when, and what then: see `divide_by`
+        self._hidden: dict[str, frozenset[str]] = {}  # see `set_visible_workers`
+        self._part_until = self._part_then = 0  # until when, and what then: see `set_budget_divisor`
         self._margin, self._max_open = margin_us, max_open
-        self._bands = {band.name: band for band in told.classes}
+        self._request_classes = {request_class.name: request_class for request_class in settings.classes}
         self.ledger = ledger
         self.router = self._made()
-        self.list = Roster(told.routers)
+        self.roster = Roster(settings.routers)
         self._list_timer = 0
         self._list_at: int | None = None
-        self._wheel: Wheel | None = None
+        self._wheel: TimerWheel | None = None
         self._now = self._wall = 0
         self._out: list[ports.Output] = []
         self._calls: dict[str, Call] = {}
-        self._of: dict[str, dict[str, None]] = {}  # source: its calls
+        self._calls_by_source: dict[str, dict[str, None]] = {}  # source: its calls
         self._awaiting: dict[int, Call] = {}  # number of a write: the call whose intent it is
         self._orders: dict[int, Order] = {}
         self._numbers = self._writes = self._faults = 0
@@ -106,7 +106,7 @@
         self._unconfirmed: set[str] = set()  # workers of books that a killed process left
         self._rebuilding = self._stopping = False
         self._events: list[io.Event] = []
-        self.ends: Counter[str] = Counter()  # of attempts, orders and questions, by how they ended
+        self.outcomes: Counter[str] = Counter()  # of attempts, orders and questions, by how they ended
         self.counts: dict[str, int] = dict.fromkeys(
             (
                 "calls",
@@ -135,10 +135,10 @@
     def step(self, now_us: int, wall_us: int, inputs: Iterable[ports.Input] = ()) -> list[ports.Output]:
         """Take what happened, and what has come due; give what is to be done, in order."""
         if self._wheel is None:
-            self._wheel = Wheel(now_us)
+            self._wheel = TimerWheel(now_us)
         self._now, self._wall, self._out = max(now_us, self._now), wall_us, []
         if self._part_until and self._now >= self._part_until:
-            self.divide_by(self._part_then)
+            self.set_budget_divisor(self._part_then)
         if self._evidence:
             self._evidence.advance(self._now)
         for given in inputs:
@@ -180,7 +180,7 @@
         """What a failed input owed: its trigger, or its call, gets a final answer that promises nothing."""
         if isinstance(given, ports.Arrive):
             trigger = given.trigger
-            of = self._of.get(trigger.source, ())
+            of = self._calls_by_source.get(trigger.source, ())
             call = next((self._calls[one] for one in of if self._calls[one].trigger is trigger), None)
             replied = any(isinstance(out, ports.Reply) and out.trigger is trigger for out in self._out)
             if call is None and not replied:
@@ -189,8 +189,8 @@
             call = self._calls.get(given.id)
             if call and isinstance(given, ports.AttemptEnd) and given.number < len(call.attempts):
                 attempt = call.attempts[given.number]
-                self._at_work -= attempt.out
-                attempt.out = False
+                self._at_work -= attempt.in_flight
+                attempt.in_flight = False
                 told = given.id, given.number, attempt.worker, Status.ERROR, 0, True, 0, ()
                 self._events.append(io.Outcome(*told))
         else:
@@ -239,42 +239,42 @@
             case ports.Copy():
                 self._events.append(io.Loaded(given.worker, given.function, Status.OK, 0, given.copies))
             case ports.Listed():
-                told = self.list.listed(self._now, given.members)
+                told = self.roster.listed(self._now, given.members)
                 self._events.append(self._same(self._unhidden(told)))
                 self._confirm(given.members)
-                self._roster()
+                self._step_roster()
             case ports.Saved():
-                self._members(self.list.saved(self._now, given.entries))
-                self._roster()
+                self._members(self.roster.saved(self._now, given.entries))
+                self._step_roster()
             case ports.Asked():
-                told = self.list.asked(
+                told = self.roster.asked(
                     self._now, given.worker, given.draining, given.started_us, given.answered
                 )
                 self._members(told)
-                self._roster()
+                self._step_roster()
             case ports.Gone():
                 self._gone(given.source)
             case ports.LedgerDown():
-                self._ledger_down(given.why)
+                self._ledger_down(given.reason)
             case ports.Stop():
                 self._stopping = True
-                if given.by_us:
-                    self._wheel.add(max(given.by_us, self._now + 1), self._answer_all)
+                if given.deadline_us:
+                    self._wheel.add(max(given.deadline_us, self._now + 1), self._answer_all)
 
     def _arrive(self, trigger: Trigger, at_us: int) -> None:
         self.counts["calls"] += 1
-        band = self._bands.get(trigger.band)
+        request_class = self._request_classes.get(trigger.request_class)
         left = trigger.left_us - self._margin - max(0, self._now - at_us)
-        if band is None:
+        if request_class is None:
             return self._refuse(trigger, tr.UNKNOWN_CLASS)
-        barred = trigger.turned or (tr.NO_TIME if left <= 0 else tr.STOPPING if self._stopping else "")
+        barred = trigger.rejection or (tr.NO_TIME if left <= 0 else tr.STOPPING if self._stopping else "")
         self._shed_us = 0
-        if not barred and self.observer and (wait_us := self.observer.admits(trigger)):
+        if not barred and self.observer and (wait_us := self.observer.reject_for_us(trigger)):
             barred, self._shed_us = tr.SHED, wait_us
         self._numbers += 1
-        call = Call(f"c{self._numbers}", trigger, band, self._now + left, False)
+        call = Call(f"c{self._numbers}", trigger, request_class, self._now + left, False)
         intent = None
-        if band.effect is not Effect.SAFE and self.ledger is not None:
+        if request_class.effect is not Effect.SAFE and self.ledger is not None:
             # The ledger is asked first, whatever else bars the call: a key that has run is not refused.
             if (intent := self._claim(call, barred)) is None:
                 return None
@@ -288,8 +288,8 @@
         guard = call.deadline_us - GUARD_TICKS * self._settings.tick_us
         call.timer = self._wheel.add(guard, lambda: self._overdue(call))
         if intent:
-            call.awaits = self._write(self.ledger.record(trigger.tenant, trigger.key, intent))
-            self._awaiting[call.awaits] = call
+            call.pending_write = self._write(self.ledger.record(trigger.tenant, trigger.key, intent))
+            self._awaiting[call.pending_write] = call
         else:
             self._out.append(ports.Accepted(trigger))
             self._request(call)
@@ -297,33 +297,37 @@
 
     def _claim(self, call: Call, barred: str) -> Entry | None:
         """Ask the ledger for the trigger's key; None where the trigger has been answered or joined."""
-        trigger, band = call.trigger, call.band
+        trigger, request_class = call.trigger, call.request_class
         if not trigger.key:
             self._refuse(trigger, tr.NO_KEY)
             return None
-        asked = b"\0".join((trigger.band.encode(), trigger.function.encode(), trigger.payload))
-        remembers = band.memory_us if band.effect is Effect.KEYED and band.scope == "all" else 0
+        asked = b"\0".join((trigger.request_class.encode(), trigger.function.encode(), trigger.payload))
+        remembers = (
+            request_class.memory_us
+            if request_class.effect is Effect.KEYED and request_class.scope == "all"
+            else 0
+        )
         verdict, what = self.ledger.claim(
             self._wall,
             trigger.tenant,
             trigger.key,
             xxhash.xxh3_128_digest(asked),
-            trigger.elsewhere,
-            band.effect,
+            trigger.maybe_seen_elsewhere,
+            request_class.effect,
             call.id,
             remembers,
             not barred,
         )
         match verdict:
             case Verdict.RUN if isinstance(what, Entry):
-                call.claimed, call.doubted = True, what.first_us < self._wall
+                call.claimed, call.may_have_run_before = True, what.first_us < self._wall
                 return what
             case Verdict.JOIN if isinstance(what, str):
                 self._join(self._calls[what], trigger)
-            case Verdict.TOLD if isinstance(what, Entry):
+            case Verdict.ALREADY_DONE if isinstance(what, Entry):
                 self.counts["told"] += 1
                 self._reply(trigger, Answer(Kind.SERVED, tr.OK, what.body, worker=what.worker))
-            case Verdict.DOUBT:
+            case Verdict.MAY_HAVE_RUN:
                 self._reply(trigger, Answer(Kind.FAILED, tr.MAY_HAVE_RUN))
             case Verdict.CONFLICT:
                 self._refuse(trigger, tr.KEY_REUSED)
@@ -338,7 +342,7 @@
             return self._reply(trigger, self._doubt(call))  # no refusal: it is running
         self.counts["joined"] += 1
         self._wait(call, trigger, trigger.left_us - self._margin)
-        if not call.awaits:
+        if not call.pending_write:
             self._out.append(ports.Accepted(trigger))
         return None
 
@@ -346,22 +350,22 @@
         """A trigger waits for a call; its own time may end before the call's does."""
         waiter = Waiter(trigger)
         if self._now + left_us < call.deadline_us:
-            waiter.until_us = self._now + left_us - GUARD_TICKS * self._settings.tick_us
-            waiter.timer = self._wheel.add(waiter.until_us, lambda: self._impatient(call, waiter))
+            waiter.deadline_us = self._now + left_us - GUARD_TICKS * self._settings.tick_us
+            waiter.timer = self._wheel.add(waiter.deadline_us, lambda: self._impatient(call, waiter))
         call.waiters.append(waiter)
-        self._of.setdefault(trigger.source, {})[call.id] = None
+        self._calls_by_source.setdefault(trigger.source, {})[call.id] = None
 
     def _impatient(self, call: Call, waiter: Waiter) -> None:
         """The time of a trigger that joined a call ends before the call's does."""
         if waiter in call.waiters:
             call.waiters.remove(waiter)
             self._forget_source(call, waiter)
-            safe = call.band.effect is Effect.SAFE
+            safe = call.request_class.effect is Effect.SAFE
             self._reply(waiter.trigger, Answer(Kind.REFUSED, tr.NO_TIME) if safe else self._doubt(call))
 
     def _overdue(self, call: Call) -> None:
         """Rule 1 whatever the module does: the call's time is up."""
-        if not call.settled and not call.orphan and not call.awaits:
+        if not call.settled and not call.orphan and not call.pending_write:
             self._log("warning", "guard", call=call.id, function=call.trigger.function)
         self._give_up(call)
 
@@ -375,21 +379,23 @@
 
     def _harmless(self, call: Call) -> bool:
         """Whether a refusal may be given: a retry is harmless, as nothing of the call or of its key ran."""
-        return call.band.effect is Effect.SAFE or (call.ran() is Ran.NEVER and not call.doubted)
+        return call.request_class.effect is Effect.SAFE or (
+            call.ran() is Ran.NEVER and not call.may_have_run_before
+        )
 
     def _give_up(self, call: Call) -> None:
         """Answer a call without the module: a refusal only where nothing of it ran."""
         if call.settled:
             return
-        reason = tr.LEDGER if call.awaits else tr.NOT_RUN
+        reason = tr.LEDGER if call.pending_write else tr.NOT_RUN
         self._settle(call, Answer(Kind.REFUSED, reason) if self._harmless(call) else self._doubt(call))
         self._leave(call)
 
     def _leave(self, call: Call) -> None:
         """The module need not care for a call any more; the engine keeps it while attempts are out."""
-        if call.awaits:
-            self._awaiting.pop(call.awaits, None)
-            call.awaits = 0
+        if call.pending_write:
+            self._awaiting.pop(call.pending_write, None)
+            call.pending_write = 0
         elif not call.orphan:
             # A client whose bytes and whose end came in one turn: the module need not hear of it at all.
             unheard = [e for e in self._events if isinstance(e, io.Request) and e.id == call.id]
@@ -408,13 +414,13 @@
         late connection went to its worker up to the dial time later, and twice that where it moved on.
         """
         for number, attempt in enumerate(call.attempts):
-            if attempt.out:
+            if attempt.in_flight:
                 self._out.append(ports.Withdraw(call.id, number))
 
     def _durable(self, number: int) -> None:
         for key in [n for n in self._awaiting if n <= number]:
             call = self._awaiting.pop(key)
-            call.awaits = 0
+            call.pending_write = 0
             self._out.extend(ports.Accepted(waiter.trigger) for waiter in call.waiters)
             self._request(call)
 
@@ -423,28 +429,29 @@
         trigger = call.trigger
         self._events.append(
             io.Request(
-                id=call.id, band=trigger.band, tenant=trigger.tenant, function=trigger.function,
-                left_us=call.deadline_us - self._now, hint_us=trigger.hint_us, memory_mb=trigger.memory_mb,
-                lanes=max(1, trigger.lanes), load_us=trigger.load_us, repeated=trigger.again,
+                id=call.id, request_class=trigger.request_class, tenant=trigger.tenant,
+                function=trigger.function, left_us=call.deadline_us - self._now, hint_us=trigger.hint_us,
+                memory_mb=trigger.memory_mb, lanes=max(1, trigger.lanes), load_us=trigger.load_us,
+                repeated=trigger.redelivered,
             )
         )  # fmt: skip
 
     def _ended(self, end: ports.AttemptEnd) -> None:
         call = self._calls.get(end.id)
-        if call is None or end.number >= len(call.attempts) or not call.attempts[end.number].out:
+        if call is None or end.number >= len(call.attempts) or not call.attempts[end.number].in_flight:
             return
         attempt = call.attempts[end.number]
         self._wheel.cancel(attempt.timer)
-        attempt.out, attempt.ran = False, end.ran
+        attempt.in_flight, attempt.ran = False, end.ran
         self._at_work -= 1
-        self.ends[f"attempt/{end.status.name.lower()}"] += 1
+        self.outcomes[f"attempt/{end.status.name.lower()}"] += 1
         if end.status is not Status.OK:
             self._log(
                 "info", "attempt-ended", request=call.trigger.key, number=end.number, worker=attempt.worker,
                 how=end.status.name.lower(), ran=end.ran.name.lower(), ms=end.latency_us // 1_000,
             )  # fmt: skip
         if self.observer:
-            self.observer.attempt(attempt.worker, call.band.name, end.status, end.latency_us)
+            self.observer.on_attempt_end(attempt.worker, call.request_class.name, end.status, end.latency_us)
         if (end.ran is Ran.NEVER) != (end.status in io.NEVER_RAN):
             raise AssertionError(f"{end.status!r} does not agree with {end.ran!r}")
         self._word(attempt.worker, end)
@@ -458,27 +465,32 @@
             self._settle(call, Answer(Kind.FAILED, tr.TOO_LARGE, worker=attempt.worker))
         elif call.streaming and not call.settled:
             self._settle(call, self._doubt(call))
-        note = min(end.found, 4) + 8 * min(end.crowd, 30)
-        report = (("rif", end.held),) if end.held >= 0 else ()
+        note = min(end.copy_state, 4) + 8 * min(end.function_calls_waiting, 30)
+        report = (("rif", end.worker_calls_held),) if end.worker_calls_held >= 0 else ()
         self._events.append(
             io.Outcome(
                 call.id, end.number, attempt.worker, end.status, end.latency_us, call.settled, note, report
             )
         )
-        if call.orphan and not call.out():
+        if call.orphan and not call.has_attempts_in_flight():
             self._give_up(call)  # nobody else would answer it before its deadline
         self._drop(call)
 
     def _begun(self, first: ports.FirstByte) -> None:
         """A streamed answer has begun: it belongs to this attempt now, and to a time of its own."""
         call = self._calls.get(first.id)
-        if call is None or call.settled or not call.band.streamed or first.number >= len(call.attempts):
+        if (
+            call is None
+            or call.settled
+            or not call.request_class.streamed
+            or first.number >= len(call.attempts)
+        ):
             return
         attempt = call.attempts[first.number]
         for timer in (call.timer, attempt.timer, *(waiter.timer for waiter in call.waiters)):
             self._wheel.cancel(timer)
         number, call.streaming = first.number, True
-        attempt.until_us = end = self._now + STREAM_US
+        attempt.deadline_us = end = self._now + STREAM_US
         attempt.timer = self._wheel.add(end, lambda: self._abandon(call, number, Status.TIMEOUT))
         call.timer = self._wheel.add(end + STREAM_US, lambda: self._overdue(call))
         self._events.append(io.First(first.id, first.number, attempt.worker))
@@ -490,7 +502,7 @@
         worker, function, asked = order.worker, order.function, order.asks
         self._wheel.cancel(order.timer)
         self._word(worker, end)
-        self.ends[f"{'question' if asked else 'order'}/{end.status.name.lower()}"] += 1
+        self.outcomes[f"{'question' if asked else 'order'}/{end.status.name.lower()}"] += 1
         if self._evidence:
             self._evidence.order_ended(worker, end, asked, self._now)
         if end.status is not Status.OK:
@@ -504,7 +516,7 @@
         """The first whole list names which workers of believed books are still there; the others are
         forgotten."""
         if self._unconfirmed and members.how is io.ListKind.FULL:
-            gone = self._unconfirmed - self.list.known.keys()
+            gone = self._unconfirmed - self.roster.known.keys()
             entries = tuple(replace(self.router.workers[w].entry, state=io.State.GONE) for w in sorted(gone))
             self._events.append(io.Members(io.ListKind.DELTA, entries))
             self._unconfirmed = set()
@@ -529,7 +541,7 @@
         """What a worker says of itself corrects the list at once."""
         heard = end.answered or end.draining
         if heard or end.status is Status.CONNECT_FAILED:
-            self._members(self.list.said(self._now, worker, end.draining, end.started_us, heard))
+            self._members(self.roster.said(self._now, worker, end.draining, end.started_us, heard))
 
     def _members(self, told: io.Members | None) -> None:
         """Tell the module of workers."""
@@ -538,12 +550,12 @@
                 self._log("info", "worker", worker=entry.worker, state=entry.state.name.lower())
             self._events.append(self._same(self._unhidden(told)))
 
-    def hide(self, sites: dict[str, frozenset[str]]) -> None:
+    def set_visible_workers(self, sites: dict[str, frozenset[str]]) -> None:
         """Of these sites the module takes all ready workers for draining but those that are named."""
         was, self._hidden = self._hidden, sites
         entries = tuple(
             known.entry
-            for known in self.list.known.values()
+            for known in self.roster.known.values()
             if self._is_hidden(known.entry, was) is not self._is_hidden(known.entry, sites)
         )
         if entries:
@@ -565,12 +577,12 @@
         )
         return members._replace(entries=entries)
 
-    def _roster(self) -> None:
+    def _step_roster(self) -> None:
         """Ask the workers that the roster wants asked, and come back when it wants more."""
-        self._members(self.list.step(self._now))
-        for worker in self.list.asks(self._now):
+        self._members(self.roster.step(self._now))
+        for worker in self.roster.asks(self._now):
             self._out.append(ports.Ask(worker, trust.ANSWER_US))
-        at = self.list.next_us(self._now)
+        at = self.roster.next_us(self._now)
         if at is not None and (self._list_at is None or at < self._list_at):
             self._wheel.cancel(self._list_timer)
             self._list_at = at
@@ -578,12 +590,12 @@
 
     def _roster_due(self) -> None:
         self._list_at = None
-        self._roster()
+        self._step_roster()
 
     def _gone(self, source: str) -> None:
         """A publisher left: a call nobody waits for any more is the module's to end; its effect is still
         recorded."""
-        for number in list(self._of.pop(source, ())):
+        for number in list(self._calls_by_source.pop(source, ())):
             call = self._calls.get(number)
             if call is None:
                 continue
@@ -596,7 +608,7 @@
 
     def _ledger_down(self, why: str) -> None:
         if self.ledger is not None:
-            self.ledger.shut_why = why
+            self.ledger.closed_reason = why
         self._log("error", "ledger-down", why=why)
         for call in list(self._awaiting.values()):
             self._give_up(call)
@@ -634,7 +646,7 @@
         salvaged = [act for act in self.router.actions if isinstance(act, (io.Send, io.SetTimer, io.Load))]
         concerned = [self._calls[e.id] for e in events if getattr(e, "id", None) in self._calls]
         for call in concerned:
-            call.blames += 1
+            call.failures_involved += 1
         for act in salvaged:
             self._act(act)
         if self._rebuilding:
@@ -645,7 +657,7 @@
         for call in concerned:
             if not call.settled:
                 call.orphan = True
-                if not call.out():
+                if not call.has_attempts_in_flight():
                     self._give_up(call)
         return []
 
@@ -663,7 +675,7 @@
             self._wheel.cancel(order.timer)
             self._out.append(ports.Recall(number))
         self._orders.clear()
-        self._feed([io.Members(io.ListKind.FULL, tuple(self.list.entries()))])
+        self._feed([io.Members(io.ListKind.FULL, tuple(self.roster.entries()))])
         new.taken, new.orders, new.retries = old.taken, old.orders, old.retries
         for name, worker in new.workers.items():
             if name in old.workers:
@@ -671,11 +683,11 @@
                 worker.rest_until = old.workers[name].rest_until
         self._rebuilding = False
         for call in list(self._calls.values()):
-            if call.settled or call.awaits:
+            if call.settled or call.pending_write:
                 continue
-            if call.attempts or call.blames >= BLAMES:
+            if call.attempts or call.failures_involved >= BLAMES:
                 call.orphan = True
-                if not call.out():
+                if not call.has_attempts_in_flight():
                     self._give_up(call)
             else:
                 self._request(call)
@@ -710,7 +722,7 @@
         if number:
             self._log("info", "retry", request=call.trigger.key, number=number, worker=act.worker)
         until = min(act.until_us or call.deadline_us, call.deadline_us)
-        attempt, by_us = Attempt(act.worker, until_us=until, sent_us=self._now), call.send_by_us()
+        attempt, by_us = Attempt(act.worker, deadline_us=until, sent_us=self._now), call.send_before_us()
         attempt.timer = self._wheel.add(until, lambda: self._abandon(call, number, Status.TIMEOUT))
         call.attempts.append(attempt)
         self._at_work += 1
@@ -722,14 +734,14 @@
                 act.worker,
                 call.trigger,
                 until - self._now,
-                call.band.streamed,
+                call.request_class.streamed,
                 self._now,
                 by_us,
             )
         )
 
     def _abandon(self, call: Call | None, number: int, status: Status) -> None:
-        if call and number < len(call.attempts) and call.attempts[number].out:
+        if call and number < len(call.attempts) and call.attempts[number].in_flight:
             self._out.append(ports.Abandon(call.id, number, status))
 
     def _final(self, act: io.Refuse | io.Fail) -> None:
@@ -744,7 +756,7 @@
             # a keyed call that may have run where all workers drop repeats; for how long its publisher will
             # go
             # on trying nobody knows, so it is told the truth and the ledger decides on each further try.
-            if call.band.effect is Effect.UNSAFE:
+            if call.request_class.effect is Effect.UNSAFE:
                 self._log("error", "refusal-withheld", call=call.id)
             answer = self._doubt(call)
         else:
@@ -761,11 +773,11 @@
             due = self._now + QUESTION_US
         elif self._settings.order_timeout_us:
             due = self._now + self._settings.order_timeout_us
-        self._ordered(number, Order(act.worker, act.function, act.copies, self._now, due))
+        self._track_order(number, Order(act.worker, act.function, act.copies, self._now, due))
         memory, lanes = (known.memory, known.lanes) if known else (0.0, 1)
         self._out.append(ports.Order(number, act.worker, act.function, act.copies, memory, lanes))
 
-    def _ordered(self, number: int, order: Order) -> None:
+    def _track_order(self, number: int, order: Order) -> None:
         if order.due_us:
             order.timer = self._wheel.add(order.due_us, lambda: self._order_silent(number))
         self._orders[number] = order
@@ -782,20 +794,20 @@
         """Intents that are not on disk yet."""
         return len(self._awaiting)
 
-    def divide_by(self, routers: int, until_us: int = 0, then: int = 0) -> None:
+    def set_budget_divisor(self, routers: int, until_us: int = 0, then: int = 0) -> None:
         """The fleet's budgets are divided by so many routers from now on, by `then` of them from `until_us`.
 
         That ends by itself: a process that stood still must not act by a part that has run out meanwhile.
         """
         self._part_until, self._part_then = until_us, then
         if routers != self._settings.routers:
-            self._settings = self.router.told = replace(self._settings, routers=routers)
+            self._settings = self.router.settings = replace(self._settings, routers=routers)
 
     def start_at(self, now_us: int, wall_us: int) -> None:
         """The time at which calls are put in, before the first `step`."""
-        self._wheel, self._now, self._wall = Wheel(now_us), now_us, wall_us
+        self._wheel, self._now, self._wall = TimerWheel(now_us), now_us, wall_us
 
-    def believe(self, books: snapshot.RouterBooks) -> None:
+    def restore_router_state(self, books: snapshot.RouterBooks) -> None:
         """Start with what may be believed of the books of a process that was killed."""
         snapshot.put(self.router, books)
         self.router.seq = 0  # its first `handle` still sets the first timers
@@ -808,16 +820,18 @@
             guard = call.deadline_us - GUARD_TICKS * self._settings.tick_us
             call.timer = wheel.add(guard, lambda call=call: self._overdue(call))
             for waiter in call.waiters:
-                if waiter.until_us:
-                    waiter.timer = wheel.add(waiter.until_us, lambda c=call, w=waiter: self._impatient(c, w))
+                if waiter.deadline_us:
+                    waiter.timer = wheel.add(
+                        waiter.deadline_us, lambda c=call, w=waiter: self._impatient(c, w)
+                    )
             for number, attempt in enumerate(call.attempts):
-                if attempt.out:
+                if attempt.in_flight:
                     self._at_work += 1
                     attempt.timer = wheel.add(
-                        attempt.until_us, lambda c=call, n=number: self._abandon(c, n, Status.TIMEOUT)
+                        attempt.deadline_us, lambda c=call, n=number: self._abandon(c, n, Status.TIMEOUT)
                     )
         for number, order in orders:
-            self._ordered(number, order)
+            self._track_order(number, order)
         for token, (_, _, due) in self.router._timers.items():
             wheel.add(due, (self._books, token))
 
@@ -828,11 +842,11 @@
         call.settled = True
         if self.observer:
             spent = self._now - (call.deadline_us - call.trigger.left_us + self._margin)
-            in_time = answer.kind is Kind.SERVED and spent <= call.band.target_us
-            self.observer.answered(call.band.name, call.trigger.tenant, in_time)
+            in_time = answer.kind is Kind.SERVED and spent <= call.request_class.target_us
+            self.observer.on_answer(call.request_class.name, call.trigger.tenant, in_time)
         if call.claimed and self.ledger is not None:
             record = self.ledger.settle(self._wall, call.trigger.tenant, call.trigger.key, answer)
-            if record is not None and not self.ledger.shut_why:
+            if record is not None and not self.ledger.closed_reason:
                 self._write(record)
         for waiter in waiters if waiters is not None else call.waiters:
             self._wheel.cancel(waiter.timer)
@@ -843,7 +857,7 @@
 
     def _drop(self, call: Call) -> None:
         """Forget a call once nothing of it is outstanding and nobody waits for it."""
-        if call.out() or (not call.settled and not call.orphan):
+        if call.has_attempts_in_flight() or (not call.settled and not call.orphan):
             return
         if not call.settled:  # its publisher left
             self._give_up(call)
@@ -852,11 +866,11 @@
         self._calls.pop(call.id, None)
 
     def _forget_source(self, call: Call, waiter: Waiter) -> None:
-        calls = self._of.get(waiter.trigger.source)
+        calls = self._calls_by_source.get(waiter.trigger.source)
         if calls is not None:
             calls.pop(call.id, None)
             if not calls:
-                del self._of[waiter.trigger.source]
+                del self._calls_by_source[waiter.trigger.source]
 
     def _refuse(self, trigger: Trigger, reason: str) -> None:
         self._reply(trigger, Answer(Kind.REFUSED, reason, wait_us=self._shed_us if reason == tr.SHED else 0))
@@ -887,10 +901,10 @@
         "ledger": len(engine.ledger) if engine.ledger else 0,
         "ledger_bytes": engine.ledger.bytes if engine.ledger else 0,
         "timers": len(engine._wheel) if engine._wheel else 0,
-        "sources": len(engine._of),
+        "sources": len(engine._calls_by_source),
         "orders": len(engine._orders),
         "workers": len(router.workers),
         "functions": len(router.functions),
         "module_calls": len(router.calls),
-        **engine.list.sizes(),
+        **engine.roster.sizes(),
     }
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -77,7 +77,7 @@
         if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may have all that is lent
             own = Share("cold", len(site.fleet.member)).own
             told = replace(told, routers=routers(own))
-        super().__init__(logs, {band.name: band.effect for band in told.classes})
+        super().__init__(logs, {request_class.name: request_class.effect for request_class in told.classes})
         self._chance = random.Random(f"{site.name}/{self.clock.wall_us()}")
         keep = site.ledger
         self.ledger = Ledger(Bounds(keep.keep_s * 1_000_000, keep.entries, keep.bytes))
@@ -118,11 +118,11 @@
         self.ended = asyncio.Event()
         self._stopping = False
 
-    def _stepped(self) -> None:
+    def _after_step(self) -> None:
         if self.journal:
             self.journal.flush()
 
-    def _carry(self, out: ports.Output) -> None:
+    def _execute(self, out: ports.Output) -> None:
         if isinstance(out, ports.Write) and self.journal:
             self.journal.append(out.record)
         elif isinstance(out, ports.Order) and self.orders:
@@ -132,7 +132,7 @@
         elif isinstance(out, ports.Recall) and self.orders and self.orders.recall(out):
             pass  # it had not gone out
         else:
-            super()._carry(out)
+            super()._execute(out)
 
     def _from_workers(self, what: ports.Input) -> None:
         """What happened at a worker."""
@@ -157,7 +157,7 @@
         now = self.clock.now_us()
         if believed := self.books.load(now, self.clock.anchor_us):
             self.engine.start_at(now, self.clock.wall_us())
-            self.engine.believe(believed)
+            self.engine.restore_router_state(believed)
         self._go(fresh=True)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))  # the module sets its first timers
 
@@ -270,10 +270,10 @@
         records, damages = self.journal.open()
         for record in records:
             self.ledger.replay(record)
-        self.ledger.forget(self.clock.wall_us())
+        self.ledger.evict_expired(self.clock.wall_us())
         for damage in damages:
-            self.ledger.holes_until = max(
-                self.ledger.holes_until, damage.until_us + site.ledger.keep_s * 1_000_000
+            self.ledger.gap_until = max(
+                self.ledger.gap_until, damage.until_us + site.ledger.keep_s * 1_000_000
             )
             self.log("error", "ledger-damaged", file=damage.file, offset=damage.offset, bytes=damage.length)
         self.log(
@@ -312,7 +312,9 @@
             )
             if workers.list.save:
                 folder = Path(self.site.state) / "list"
-                self.keeper = Keeper(folder, self.clock, self.engine.list, self.log, self._loop.add_callback)
+                self.keeper = Keeper(
+                    folder, self.clock, self.engine.roster, self.log, self._loop.add_callback
+                )
                 if fresh and (entries := self.keeper.load()):
                     told_saved(entries)
             if not (self.site.fleet and self.site.fleet.one_reader):
@@ -418,7 +420,7 @@
         """Classes in the order of sacrifice, without a plan: each the same part of the work."""
         fleet, classes = self.site.fleet, self.site.classes
         assert fleet
-        named = [one for band in fleet.sacrifice for one in classes if one.name == band]
+        named = [one for request_class in fleet.sacrifice for one in classes if one.name == request_class]
         rest = sorted((one for one in classes if one not in named), key=lambda one: (one.worth, one.name))
         return [Rank(one.name, "", 1 / len(classes), 1.0) for one in (*rest, *named)]
 
@@ -442,7 +444,7 @@
             if (divide, until) != before:
                 before = divide, until
                 ends = self.clock.now_us() + until - now if until else 0
-                self.engine.divide_by(divide, ends, routers(share.own))
+                self.engine.set_budget_divisor(divide, ends, routers(share.own))
                 self.log("debug", "fleet-part", routers=divide, at_us=self.clock.now_us(), until_us=ends)
 
         return look
@@ -498,7 +500,7 @@
         age_ms = max(0, int((time.monotonic() - self._service.heard_at) * 1e3))
         shown = [
             sources.instance(one.entry, self.clock.wall_of(one.entry.started_us))
-            for one in self.engine.list.known.values()
+            for one in self.engine.roster.known.values()
             if not one.left_us
         ]
         headers = {"x-consul-index": str(self._service.index), "x-swiftwell-age-ms": str(age_ms)}
--- a/swiftwell/workers/link.py
+++ b/swiftwell/workers/link.py
@@ -235,7 +235,7 @@
         """Probe whether a worker is there; any answer proves it."""
         request = protocol.load_request(self._gateway, act.worker, protocol.NO_FUNCTION, 0, 0.0, 1)
         now = time.monotonic()
-        self._dispatch(self._probe_job(act.worker, encode(request), now, now + act.within_us / 1e6))
+        self._dispatch(self._probe_job(act.worker, encode(request), now, now + act.timeout_us / 1e6))
 
     def _probe_job(self, worker: str, data: bytes, started_s: float, deadline_s: float) -> _Job:
         def on_end(result: _JobResult) -> None:
--- a/swiftwell/workers/resp/codec.py
+++ b/swiftwell/workers/resp/codec.py
@@ -165,12 +165,18 @@
     return outcome[0], parse_count(parse_fields(text), b"instances")
 
 
-def run_command(id_: bytes, band: str, function: str, left_us: int, body: bytes, token: str = "") -> bytes:
+def run_command(
+    id_: bytes, request_class: str, function: str, left_us: int, body: bytes, token: str = ""
+) -> bytes:
     """The command that runs a call.
 
     `token`: under which the worker's group drops repeats of a keyed call.
     """
-    fields = b"lane=%b,name=%b,ttl=%d" % (band.encode(), function.encode(), max(1, -(-left_us // 1_000)))
+    fields = b"lane=%b,name=%b,ttl=%d" % (
+        request_class.encode(),
+        function.encode(),
+        max(1, -(-left_us // 1_000)),
+    )
     if token:
         fields += b",dedupe=%b" % token.encode()
     return encode(b"FN", id_, fields, body)
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -122,10 +122,10 @@
         def encode(now_s: float) -> bytes:
             now_us = int(now_s * 1e6)
             left_us = deadline_us - now_us
-            if left_us <= 0 or (act.by_us and now_us >= act.by_us):
+            if left_us <= 0 or (act.send_before_us and now_us >= act.send_before_us):
                 return b""
             return codec.run_command(
-                id_, trigger.band, trigger.function, left_us, trigger.payload, trigger.token
+                id_, trigger.request_class, trigger.function, left_us, trigger.payload, trigger.token
             )
 
         job = Job(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -51,8 +51,8 @@
 def long_deadline_settings(dial_ms=8_000.0, deadline_ms=6_000.0, **more):
     """Settings that let a connection take long to open, and a call wait for it."""
     platform_settings = settings(**more)
-    for band in platform_settings["lanes"]:
-        band |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
+    for request_class in platform_settings["lanes"]:
+        request_class |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
     platform_settings["limits"] |= {"dial-timeout-ms": dial_ms}
     return platform_settings
 
@@ -248,7 +248,7 @@
             await until(lambda: node.engine._wheel)
             node.engine._now = node.clock.now_us()
             order = Order("s-00000001", KEY, 1, node.engine._now, node.engine._now + 10_000)
-            node.engine._ordered(9, order)
+            node.engine._track_order(9, order)
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: not node.engine._orders)
             await until(lambda: not node.link._orders)
--- a/tests/test_fastcgi.py
+++ b/tests/test_fastcgi.py
@@ -180,7 +180,12 @@
     trigger = rq.read(
         {k.encode(): v.encode() for k, v in fields(ID).items()}, b"\0body", CONTRACT, "1/1", None
     )
-    assert (trigger.key, trigger.band, trigger.tenant, trigger.payload) == (ID, "lectura", "acme", b"\0body")
+    assert (trigger.key, trigger.request_class, trigger.tenant, trigger.payload) == (
+        ID,
+        "lectura",
+        "acme",
+        b"\0body",
+    )
     assert (trigger.left_us, trigger.hint_us, trigger.memory_mb, trigger.lanes, trigger.load_us) == (
         1_000_000, 8_200, 512.0, 2, 300_000,
     )  # fmt: skip
@@ -214,9 +219,9 @@
     )
     trigger = rq.read(request_fields, b"1234", CONTRACT, "1/1", None)
     assert (trigger.hint_us, trigger.memory_mb, trigger.lanes, trigger.load_us) == (0, 0.0, 1, 0)
-    assert trigger.again and trigger.token == "6b037a6fa73e6f4d"
+    assert trigger.redelivered and trigger.token == "6b037a6fa73e6f4d"
     usual = rq.read(raw(), b"1234", CONTRACT, "1/1", None)
-    assert not usual.again and usual.token == ""
+    assert not usual.redelivered and usual.token == ""
 
 
 @pytest.mark.parametrize("wrong", INVALID_FIELDS, ids=str)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -111,7 +111,7 @@
             await harness.ends()
             spent_ms = (time.monotonic() - started) * 1e3
             (end,) = harness.results
-            assert (end.status, end.ran, end.found) == (Status.OK, Ran.YES, 1)
+            assert (end.status, end.ran, end.copy_state) == (Status.OK, Ran.YES, 1)
             assert end.body == b"did " + bytes(range(256))
             command, id_, fields, body = worker.got[0]
             assert (command, id_, body) == (b"FN", ID.encode(), bytes(range(256)))
