--- a/swiftwell/fronts/mqtt/peer.py
+++ b/swiftwell/fronts/mqtt/peer.py
@@ -19,12 +19,12 @@
 
 from swiftwell.fronts import trigger as tr
 from swiftwell.fronts.host import Host
+from swiftwell.fronts.message_reader import Freshness
 from swiftwell.fronts.mqtt import contract
 from swiftwell.fronts.mqtt.codec import Ack, Packet, Publish, Reason, Type, encode
 from swiftwell.fronts.mqtt.connection import Connection
 from swiftwell.fronts.mqtt.contract import Contract, Ref, Rejected
 from swiftwell.fronts.mqtt.session import Session
-from swiftwell.fronts.reading import Freshness
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 from swiftwell.interface import Effect
 
@@ -58,7 +58,7 @@
         """The session goes on over a new connection."""
         self.generation += 1
         self.connection = connection
-        self._freshness.full(time.monotonic())
+        self._freshness.mark_full(time.monotonic())
 
     def detach(self, connection: Connection) -> None:
         """The connection has ended."""
@@ -89,11 +89,11 @@
         """Read a message as a trigger and submit it."""
         now, inbox = time.monotonic(), self.session.inbox
         if len(inbox) >= FULL * inbox.window:
-            self._freshness.full(now)
+            self._freshness.mark_full(now)
         ref = self.contract.ref(message, version, (self, self.generation), self.client)
         try:
             trigger = self.contract.read(
-                message, self.source, ref, self.host.wall_ms(), self._freshness.fresh(now)
+                message, self.source, ref, self.host.wall_ms(), self._freshness.is_fresh(now)
             )
         except Rejected as error:
             self.host.log(
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -31,7 +31,7 @@
 from swiftwell.platform.startup import retry, retry_blocking
 from swiftwell.settings import platform as config
 from swiftwell.settings.platform import ConfigError, Platform
-from swiftwell.workers.resp.link import ORDER_S, RespBounds, RespLink
+from swiftwell.workers.resp.link import ORDER_TIMEOUT_S, RespBounds, RespLink
 
 ANSWER_MARGIN_US = 5_000  # of each request's time, kept for the answer's way to the client
 DRAIN_POLL_INTERVAL_S = 0.005  # between checks for open calls; two in a row that find none end a shutdown
@@ -57,8 +57,9 @@
         limits = divide_descriptors(platform.descriptors)
         self.addresses = journal.WorkerAddresses()
         self._start_times, self._at_our_start = StartTimes(self.clock.started_us), True
-        # The link must not drop a load order before the engine does: loads may take longer than `ORDER_S`.
-        order_s = max(ORDER_S, settings.order_timeout_us / 1e6)
+        # The link must not drop a load order before the engine does: a load may take longer than
+        # `ORDER_TIMEOUT_S`.
+        order_s = max(ORDER_TIMEOUT_S, settings.order_timeout_us / 1e6)
         link_bounds = RespBounds(
             limits.workers,
             platform.streams_per_connection,
@@ -138,7 +139,7 @@
             self._leases.listed(worker.id)
         for worker in self.addresses.apply(event):
             self._leases.forget(worker)
-            self.link.gone(worker)
+            self.link.worker_removed(worker)
         members = self._start_times.to_members(event, self.clock.now_us(), at_our_start=self._at_our_start)
         if not event.is_full_list:
             self._log_changes(event)
@@ -212,10 +213,10 @@
             self.front.drain()
             idle_checks = 0
             while idle_checks < 2 and time.monotonic() < began + schedule.close_s:
-                self.front.end_idle()
+                self.front.close_idle()
                 await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-                idle_checks = 0 if self.front.owes() else idle_checks + 1
-            await self.front.shut(began + schedule.exit_s)
+                idle_checks = 0 if self.front.owes_answers() else idle_checks + 1
+            await self.front.shutdown(began + schedule.exit_s)
         except Exception as error:
             self.log("error", "stop-failed", error=f"{type(error).__name__}: {error}")
         finally:
@@ -234,7 +235,7 @@
                 close()
             except Exception as error:
                 self.log("error", "end-failed", error=f"{type(error).__name__}: {error}")
-        self.log("info", "stopped", open=self.engine.open, owed=len(self.front.ids))
+        self.log("info", "stopped", open=self.engine.open, owed=len(self.front.open_ids))
         self.ended.set()
 
     def _sweep(self) -> None:
@@ -262,7 +263,7 @@
             "info", "figures", lag_ms=round(self._loop_lag.take_worst_s() * 1e3, 1),
             cpu_s=round(time.process_time(), 2), memory_mb=_memory_mb(),
             descriptors=_descriptors(), clients=len(front.connections),
-            replies=replies, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
+            replies=replies, turned=dict(front.rejections.most_common(8)), front=dict(front.counts),
             link=dict(self.link.counts), sizes=tables(self.engine) | self.link.sizes(),
             counts=dict(self.engine.counts), ends=dict(self.engine.outcomes),
             held=self.journal.sequence.last_number, asked=self.journal.connections, list=self._list_figures(),
