--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -73,7 +73,7 @@
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
         self.now, self.actions = now, []
-        self.list_serves = self.leases is None or self.leases.list_serves(now)
+        self.list_suffices = self.leases is None or self.leases.list_suffices(now)
         if not self.seq:
             self.born = now
             self._after(SWEEP_US, self._sweep)
@@ -317,10 +317,10 @@
 
     def _serves(self, worker: rs.Worker) -> bool:
         """Whether it is known not to drain: by the list, or by its own word where the list may be stale."""
-        return self.list_serves or self.leases.serves(worker.entry.worker, self.now)
+        return self.list_suffices or self.leases.may_send(worker.entry.worker, self.now)
 
     def _any_serves(self) -> bool:
-        return self.list_serves or any(map(self._serves, self.ready))
+        return self.list_suffices or any(map(self._serves, self.ready))
 
     def _unproven(self, worker: rs.Worker) -> bool:
         """Not known to serve, and not to be asked, or asked and silent: as a worker that hangs."""
--- a/swiftwell/discovery/worker_leases.py
+++ b/swiftwell/discovery/worker_leases.py
@@ -51,13 +51,13 @@
 
     # Queries.
 
-    def list_serves(self, now_us: int) -> bool:
+    def list_suffices(self, now_us: int) -> bool:
         """Whether the list alone allows a send that is decided now, to any worker that it names as ready."""
         if self._grace_us is None:
             return True
         return now_us + self._decision_margin_us <= self.staleness.stale_from_us() + self._grace_us
 
-    def serves(self, worker: str, now_us: int) -> bool:
+    def may_send(self, worker: str, now_us: int) -> bool:
         """Whether the drain rule allows a send to a listed worker that is decided now."""
         return self._is_valid_until(worker, now_us + self._decision_margin_us)
 
@@ -80,7 +80,7 @@
         """Numbers of workers that are proven to serve, drain by their own answer, and are neither."""
         result = {"proven": 0, "draining": 0, "unproven": 0}
         for name, lease in self._leases.items():
-            state = "proven" if self.serves(name, now_us) else "unproven"
+            state = "proven" if self.may_send(name, now_us) else "unproven"
             result["draining" if lease.draining else state] += 1
         return result
 
--- a/swiftwell/router_state.py
+++ b/swiftwell/router_state.py
@@ -15,11 +15,11 @@
 class Leases(Protocol):
     """What is proven of workers where the list may be stale (discovery/worker_leases)."""
 
-    def list_serves(self, now_us: int) -> bool:
+    def list_suffices(self, now_us: int) -> bool:
         """Whether the list's word on every worker still holds."""
         ...
 
-    def serves(self, worker: str, now_us: int) -> bool:
+    def may_send(self, worker: str, now_us: int) -> bool:
         """Whether a send to a listed worker that is decided now keeps the rule on drains."""
         ...
 
@@ -265,7 +265,7 @@
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.leases: Leases | None = None  # None: the list is always taken for current
-        self.list_serves = True  # its word on every worker holds in this batch
+        self.list_suffices = True  # its word on every worker holds in this batch
         self.settings, self.seed = settings, seed  # no choice is left to chance so far: the seed is unused
         self.request_classes = {request_class.name: request_class for request_class in settings.classes}
         self.workers: dict[str, Worker] = {}
--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -155,7 +155,7 @@
 def test_a_short_grace_period_still_gives_a_lease():
     leases = make_leases(grace_us=20_000)
     leases.record_accepted("a", 20 * S)
-    assert leases.serves("a", 20 * S + 14_000) and not leases.may_write("a", 20 * S + 18_000)
+    assert leases.may_send("a", 20 * S + 14_000) and not leases.may_write("a", 20 * S + 18_000)
 
 
 # The client of the journal service: what confirms the list, in real time.
