--- a/swiftwell/router_state.py
+++ b/swiftwell/router_state.py
@@ -18,11 +18,11 @@
 class Leases(Protocol):
     """Which workers are known not to drain while the worker list may be stale (discovery/worker_leases)."""
 
-    def list_serves(self, now_us: int) -> bool:
+    def list_suffices(self, now_us: int) -> bool:
         """Whether the worker list is current, so that the state it gives of every worker holds."""
         ...
 
-    def serves(self, worker: str, now_us: int) -> bool:
+    def may_send(self, worker: str, now_us: int) -> bool:
         """Whether a send to a listed worker, decided now, keeps the rule on drains."""
         ...
 
