--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -1,8 +1,9 @@
 """The module's books as a versioned snapshot, and back.  No I/O.
 
-Every value of `records.Books` that a decision rests on is in it; what can be derived (homes, ready workers,
-hashes) is not. The structs are the table of versions: a field that a version does not know is dropped, one
-that is missing takes the default that stands here, which is what a router that has just started would have.
+Every value of `router_state.RouterState` that a decision rests on is in it; what can be derived (preferred
+workers, ready workers, hashes) is not.  The structs are the table of versions: a field that a version does
+not know is dropped, one that is missing takes the default that stands here, which is what a router that has
+just started would have.
 """
 
 from __future__ import annotations
@@ -15,10 +16,13 @@
 import msgspec
 
 from swiftwell import interface as io
-from swiftwell import records as rec
+from swiftwell import router_state as rs
 from swiftwell.choice import FIRST_CAP, RATE_US, Router
 from swiftwell.interface import Effect, State
 
+# Fields of a request by identifier, with the name that a snapshot stores them under.
+_REQUEST = {name: {"request_class": "band"}.get(name, name) for name in io.Request._fields}
+
 
 class Copies(msgspec.Struct, array_like=True):
     """A belief: copies, MB of one, since and until when (monotonic us)."""
@@ -87,7 +91,7 @@
     """A call, with its request and class as they were told."""
 
     request: dict[str, Any]
-    band: dict[str, Any]
+    request_class: dict[str, Any] = msgspec.field(name="band")
     seq: int
     arrived: int
     attempts: list[AttemptBooks] = []
@@ -135,13 +139,13 @@
     now: int = 0
 
 
-def band_out(band: io.RequestClass) -> dict[str, Any]:
+def encode_request_class(request_class: io.RequestClass) -> dict[str, Any]:
     """A class as plain values."""
-    out = {one.name: getattr(band, one.name) for one in fields(io.RequestClass)}
-    return out | {"effect": band.effect.value}
+    out = {one.name: getattr(request_class, one.name) for one in fields(io.RequestClass)}
+    return out | {"effect": request_class.effect.value}
 
 
-def band_in(told: dict[str, Any]) -> io.RequestClass:
+def decode_request_class(told: dict[str, Any]) -> io.RequestClass:
     """And back."""
     known = {one.name for one in fields(io.RequestClass)}
     return io.RequestClass(
@@ -149,7 +153,7 @@
     )
 
 
-def _belief(belief: rec.Belief) -> Copies:
+def _belief(belief: rs.CopyEstimate) -> Copies:
     return Copies(belief.count, belief.memory, belief.since, belief.fades)
 
 
@@ -238,7 +242,7 @@
     if not calls:
         return out
     for call in router.calls.values():
-        request = call.request._asdict()
+        request = {_REQUEST[name]: value for name, value in call.request._asdict().items()}
         attempts = [
             AttemptBooks(a.worker.entry.worker, a.sent, a.cold, a.out, a.maybe_ran, a.before, a.group)
             for a in call.attempts
@@ -246,7 +250,7 @@
         out.calls.append(
             CallBooks(
                 request,
-                band_out(call.band),
+                encode_request_class(call.request_class),
                 call.seq,
                 call.arrived,
                 attempts,
@@ -269,8 +273,8 @@
     router.taken.times, router.orders.times = deque(books.taken), deque(books.orders)
     router.retries.left = min(books.retries, router.retries.most)
     router.latency = books.latency or router.latency
-    router.traffic = rec.Rate(RATE_US, books.traffic_total, books.traffic_at)
-    router.served, router.born = rec.Rate(RATE_US, books.served_total, books.served_at), books.born
+    router.traffic = rs.DecayingRate(RATE_US, books.traffic_total, books.traffic_at)
+    router.served, router.born = rs.DecayingRate(RATE_US, books.served_total, books.served_at), books.born
     router.warm = books.warm
     router.usual |= books.usual
     router.kind_pace = dict(books.kind_pace)
@@ -278,22 +282,22 @@
     router.orders_left.left = min(books.orders_left, router.orders_left.most)
     router.look_at, router.woke, router.loading = books.look_at, books.woke, books.loading
     router.seq, router.now = max(1, books.seq), books.now
-    memory = dict(router.told.kind_memory_mb)
+    memory = dict(router.settings.kind_memory_mb)
     for b in books.workers:
         entry = io.WorkerEntry(b.worker, State(b.state), b.kind, b.weight, b.started_us, b.zone, b.cell)
-        worker = rec.Worker(
+        worker = rs.Worker(
             entry,
-            rec.stable_hash(b.worker),
-            rec.stable_hash(f"{b.worker}/{router.told.position}"),
+            rs.stable_hash(b.worker),
+            rs.stable_hash(f"{b.worker}/{router.settings.position}"),
             memory.get(b.kind, math.inf),
             b.cap,
             b.inflight,
             dict(b.busy),
-            {name: rec.Belief(c.count, c.memory, c.since, c.fades) for name, c in b.copies.items()},
-            {name: rec.Belief(c.count, c.memory, c.since, c.fades) for name, c in b.coming.items()},
+            {name: rs.CopyEstimate(c.count, c.memory, c.since, c.fades) for name, c in b.copies.items()},
+            {name: rs.CopyEstimate(c.count, c.memory, c.since, c.fades) for name, c in b.coming.items()},
             dict(b.shut),
             dict(b.refused),
-            rec.Window(deque(b.sends)),
+            rs.SlidingWindow(deque(b.sends)),
             b.quiet_since,
             b.full_until,
             b.rest_until,
@@ -304,13 +308,15 @@
             b.answered,
         )
         if b.turns:
-            worker.turns = rec.Turns(*b.turns)
-        worker.rank = (worker.entry.zone != router.told.zone, -worker.order)
+            worker.turns = rs.RampTokens(*b.turns)
+        worker.rank = (worker.entry.zone != router.settings.zone, -worker.order)
         router.workers[b.worker] = worker
     router.ring.update(list(router.workers.values()))
     router.listing = 1
     for f in books.functions:
-        function = rec.Function(f.name, rec.stable_hash(f.name), f.load_us, rec.Rate(RATE_US, f.total, f.at))
+        function = rs.Function(
+            f.name, rs.stable_hash(f.name), f.load_us, rs.DecayingRate(RATE_US, f.total, f.at)
+        )
         function.memory, function.lanes, function.coming = f.memory, f.lanes, f.coming
         function.holders = {name: router.workers[name] for name in f.holders if name in router.workers}
         router.functions[f.name] = function
@@ -325,31 +331,32 @@
 
 
 def _call(router: Router, c: CallBooks) -> None:
-    known = set(io.Request._fields)
-    request = io.Request(**{name: value for name, value in c.request.items() if name in known})
-    band = router.bands.get(request.band) or band_in(c.band)
-    router.usual.setdefault(band.name, band.target_us / 4)
+    request = io.Request(
+        **{name: c.request[stored] for name, stored in _REQUEST.items() if stored in c.request}
+    )
+    request_class = router.request_classes.get(request.request_class) or decode_request_class(c.request_class)
+    router.usual.setdefault(request_class.name, request_class.target_us / 4)
     function = router.functions.get(request.function)
     if function is None:
         load = request.load_us or 800_000
-        function = rec.Function(
+        function = rs.Function(
             request.function,
-            rec.stable_hash(request.function),
+            rs.stable_hash(request.function),
             load,
-            rec.Rate(RATE_US),
+            rs.DecayingRate(RATE_US),
             request.memory_mb,
             request.lanes,
         )
         router.functions[request.function] = function
-    kinds = f"class {band.name}", f"tenant {request.tenant}"
-    call = rec.Call(request, band, function, c.seq, c.arrived, kinds)
+    kinds = f"class {request_class.name}", f"tenant {request.tenant}"
+    call = rs.Call(request, request_class, function, c.seq, c.arrived, kinds)
     call.held, call.ended, call.streaming = c.held, c.ended, c.streaming
     for number, a in enumerate(c.attempts):
         worker = router.workers.get(a.worker)
         if worker is None:  # it was forgotten: nothing of ours is out there
             entry = io.WorkerEntry(a.worker, State.GONE, "", 1.0, 0, "", 0)
-            worker = rec.Worker(entry, 0, 0, math.inf, FIRST_CAP)
-        attempt = rec.Attempt(call, number, worker, a.sent, a.cold, a.out, a.maybe_ran, a.group, a.before)
+            worker = rs.Worker(entry, 0, 0, math.inf, FIRST_CAP)
+        attempt = rs.Attempt(call, number, worker, a.sent, a.cold, a.out, a.maybe_ran, a.group, a.before)
         call.attempts.append(attempt)
     router.calls[request.id] = call
 
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -46,7 +46,13 @@
     from swiftwell.gateway.shell import Gateway
 
 VERSION = 1  # of the state; a reader takes any version, by the defaults below
-_TRIGGER = [one.name for one in fields(Trigger) if one.name != "ref"]
+_STORED_NAMES = {
+    "request_class": "band",
+    "redelivered": "again",
+    "maybe_seen_elsewhere": "elsewhere",
+    "rejection": "turned",
+}  # the fields of a trigger that are stored under another name
+_TRIGGER = {one.name: _STORED_NAMES.get(one.name, one.name) for one in fields(Trigger) if one.name != "ref"}
 
 
 class RefState(msgspec.Struct):
@@ -66,7 +72,7 @@
 
 
 class TriggerState(msgspec.Struct):
-    """A trigger; `values` by the names of its fields."""
+    """A trigger; `values` by the stored names of its fields."""
 
     values: dict[str, Any]
     ref: RefState
@@ -77,7 +83,7 @@
 
     id: str
     trigger: TriggerState
-    band: dict[str, Any]
+    request_class: dict[str, Any] = msgspec.field(name="band")
     deadline_us: int
     claimed: bool = False
     waiters: list[tuple[TriggerState, int]] = []
@@ -366,7 +372,7 @@
     state.calls = [_call_out(gateway, call) for call in engine._calls.values()]
     state.ledger = ledger.records()
     state.running = [(t, k, e.call) for (t, k), e in ledger._entries.items() if e.call]
-    state.holes_until, state.shut_why = ledger.holes_until, ledger.shut_why
+    state.holes_until, state.shut_why = ledger.gap_until, ledger.closed_reason
     state.numbers, state.writes, state.counts = engine._numbers, engine._writes, dict(engine.counts)
     # A gateway that hands over asks no worker: each of its orders is for copies.
     state.orders = [
@@ -393,11 +399,11 @@
         state.jobs.append(_job_out(job, add, "run", id=key[0], number=key[1]))
     for job, (kind, number) in gateway.link.others.items():
         state.jobs.append(_job_out(job, add, kind, number=number))
-    for known in engine.list.known.values():
+    for known in engine.roster.known.values():
         values = {one.name: getattr(known, one.name) for one in fields(Known) if one.name != "entry"}
         entry = {one.name: getattr(known.entry, one.name) for one in fields(io.WorkerEntry)}
         state.roster.known.append(values | {"entry": entry | {"state": known.entry.state.value}})
-    state.roster.live, state.roster.size_since = engine.list.live, engine.list.size_since
+    state.roster.live, state.roster.size_since = engine.roster.live, engine.roster.size_since
     state.router = snapshot.take(engine.router)
     if gateway._lock >= 0:
         state.lock = add(gateway._lock)
@@ -478,23 +484,26 @@
 
 
 def _trigger_out(trigger: Trigger) -> TriggerState:
-    return TriggerState({name: getattr(trigger, name) for name in _TRIGGER}, _ref_out(trigger.ref))  # type: ignore[arg-type]
+    return TriggerState(
+        {stored: getattr(trigger, name) for name, stored in _TRIGGER.items()},
+        _ref_out(trigger.ref),  # type: ignore[arg-type]
+    )
 
 
 def _call_out(gateway: Gateway, call: Call) -> CallState:
     return CallState(
         call.id,
         _trigger_out(call.trigger),
-        snapshot.band_out(call.band),
+        snapshot.encode_request_class(call.request_class),
         call.deadline_us,
         call.claimed,
-        [(_trigger_out(w.trigger), w.until_us) for w in call.waiters],
-        [(a.worker, a.out, a.ran.value, a.until_us) for a in call.attempts],
+        [(_trigger_out(w.trigger), w.deadline_us) for w in call.waiters],
+        [(a.worker, a.in_flight, a.ran.value, a.deadline_us) for a in call.attempts],
         call.settled,
         call.streaming,
-        call.doubted,
+        call.may_have_run_before,
         call.orphan,
-        call.blames,
+        call.failures_involved,
     )
 
 
@@ -554,16 +563,16 @@
     for record in state.ledger:
         ledger.replay(record)
     for tenant, key, call in state.running:
-        ledger.run_again(tenant, key, call)
-    ledger.holes_until, ledger.shut_why = state.holes_until, state.shut_why
+        ledger.reclaim(tenant, key, call)
+    ledger.gap_until, ledger.closed_reason = state.holes_until, state.shut_why
     engine._numbers, engine._writes = state.numbers, state.writes
     engine.counts.update(state.counts)
     for known in state.roster.known:
         raw = dict(known.pop("entry"))
         entry = io.WorkerEntry(**raw | {"state": WorkerState(raw["state"])})
         names = {one.name for one in fields(Known)}
-        engine.list.known[entry.worker] = Known(entry, **{k: v for k, v in known.items() if k in names})
-    engine.list.live, engine.list.size_since = state.roster.live, state.roster.size_since
+        engine.roster.known[entry.worker] = Known(entry, **{k: v for k, v in known.items() if k in names})
+    engine.roster.live, engine.roster.size_since = state.roster.live, state.roster.size_since
     gateway.build_fronts()
     peers: dict[tuple[str, str], Peer] = {}
     for one in state.peers:
@@ -678,21 +687,23 @@
 
 
 def _trigger_in(one: TriggerState, peers: dict[tuple[str, str], Peer], gateway: Gateway) -> Trigger:
-    known = {name: one.values[name] for name in _TRIGGER if name in one.values}
+    known = {name: one.values[stored] for name, stored in _TRIGGER.items() if stored in one.values}
     return Trigger(ref=_ref_in(one.ref, peers, gateway), **known)
 
 
 def _call_in(gateway: Gateway, one: CallState, peers: dict[tuple[str, str], Peer]) -> None:
     engine = gateway.engine
-    band = engine._bands.get(one.trigger.values["band"]) or snapshot.band_in(one.band)
-    call = Call(one.id, _trigger_in(one.trigger, peers, gateway), band, one.deadline_us, one.claimed)
+    request_class = engine._request_classes.get(one.trigger.values["band"]) or snapshot.decode_request_class(
+        one.request_class
+    )
+    call = Call(one.id, _trigger_in(one.trigger, peers, gateway), request_class, one.deadline_us, one.claimed)
     call.attempts = [Attempt(worker, out, Ran(ran), 0, until) for worker, out, ran, until in one.attempts]
-    call.settled, call.streaming, call.doubted = one.settled, one.streaming, one.doubted
-    call.orphan, call.blames = one.orphan, one.blames
+    call.settled, call.streaming, call.may_have_run_before = one.settled, one.streaming, one.doubted
+    call.orphan, call.failures_involved = one.orphan, one.blames
     for told, until in one.waiters:
         trigger = _trigger_in(told, peers, gateway)
         call.waiters.append(Waiter(trigger, 0, until))
-        engine._of.setdefault(trigger.source, {})[call.id] = None
+        engine._calls_by_source.setdefault(trigger.source, {})[call.id] = None
         peer: Peer = trigger.ref.connection[0]  # type: ignore[attr-defined]
         peer.waits_again(trigger.ref)  # type: ignore[arg-type]
     engine._calls[call.id] = call
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/watch.py
@@ -56,23 +56,23 @@
 
     # The engine's observer.
 
-    def admits(self, trigger: Trigger) -> int:
+    def reject_for_us(self, trigger: Trigger) -> int:
         """Turn a trigger away where the order of sacrifice says so."""
         key = trigger.key or f"{trigger.source}/{trigger.function}"
-        if self.desk.admission.admits(trigger.band, trigger.tenant, key):
+        if self.desk.admission.admits(trigger.request_class, trigger.tenant, key):
             return 0
         return self.desk.admission.wait_ms(key) * 1_000
 
-    def attempt(self, worker: str, band: str, status: Status, latency_us: int) -> None:
+    def on_attempt_end(self, worker: str, request_class: str, status: Status, latency_us: int) -> None:
         """An attempt has ended."""
-        self.desk.attempt(self._site(worker), worker, band, status, latency_us)
+        self.desk.attempt(self._site(worker), worker, request_class, status, latency_us)
 
-    def answered(self, band: str, tenant: str, in_time: bool) -> None:
+    def on_answer(self, request_class: str, tenant: str, in_time: bool) -> None:
         """A call that was taken has its answer."""
         self.desk.admission.ended(in_time)
 
     def _site(self, worker: str) -> str:
-        known = self._engine.list.known.get(worker)
+        known = self._engine.roster.known.get(worker)
         return known.entry.zone if known else ""
 
     def asked(self, end: ports.Asked) -> bool:
@@ -92,7 +92,7 @@
     def _look(self) -> None:
         node, now = self._link.node, self._link.now_us()
         workers: dict[str, list[str]] = {}
-        for name, known in self._engine.list.known.items():
+        for name, known in self._engine.roster.known.items():
             if not known.left_us and known.entry.state is State.READY:
                 workers.setdefault(known.entry.zone, []).append(name)
         sites = self.desk.judge.sites
@@ -127,7 +127,7 @@
             self._ask(ports.Ask(worker, PROBE_US))
         if out.hidden != self._hidden:
             self._hidden = out.hidden
-            self._engine.hide(out.hidden)
+            self._engine.set_visible_workers(out.hidden)
 
     def _board(self, site: str, now: int) -> tuple[Word | None, int | None, int]:
         board = self._link.node.replicated_logs[BOARD + site]
@@ -174,8 +174,8 @@
             "sites": {name: one.state.value for name, one in self.desk.judge.sites.items()},
             "shown": {site: len(those) for site, those in self._hidden.items()},
             "refusing": {
-                "/".join(filter(None, (rank.band, rank.tenant))): round(
-                    admission.part(rank.band, rank.tenant), 3
+                "/".join(filter(None, (rank.request_class, rank.tenant))): round(
+                    admission.part(rank.request_class, rank.tenant), 3
                 )
                 for rank in admission.order
             }
--- a/swiftwell/workers/resp/link.py
+++ b/swiftwell/workers/resp/link.py
@@ -105,9 +105,11 @@
         def words(now_s: float) -> bytes:
             now_us = int(now_s * 1e6)
             left = until_us - now_us
-            if left <= 0 or (act.by_us and now_us >= act.by_us):
+            if left <= 0 or (act.send_before_us and now_us >= act.send_before_us):
                 return b""
-            return codec.run(id_, trigger.band, trigger.function, left, trigger.payload, trigger.token)
+            return codec.run(
+                id_, trigger.request_class, trigger.function, left, trigger.payload, trigger.token
+            )
 
         job = Job(act.worker, id_, words(began), answered, end, True, words, began=began, handover=handover)
         self._jobs[key] = job
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -51,8 +51,8 @@
 def patient(dial_ms=8_000.0, deadline_ms=6_000.0, **more):
     """Settings under which a connection may take long to come up, and a call may wait for it."""
     found = settings(**more)
-    for band in found["lanes"]:
-        band |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
+    for request_class in found["lanes"]:
+        request_class |= {"target-ms": deadline_ms / 1.5, "deadline-ms": deadline_ms}
     found["limits"] |= {"dial-timeout-ms": dial_ms}
     return found
 
@@ -245,7 +245,7 @@
             await until(lambda: node.engine._wheel)
             node.engine._now = node.clock.now_us()
             order = Order("s-00000001", KEY, 1, node.engine._now, node.engine._now + 10_000)
-            node.engine._ordered(9, order)
+            node.engine._track_order(9, order)
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: not node.engine._orders)
             await until(lambda: not node.link._orders)
