--- a/swiftwell/gateway/orders.py
+++ b/swiftwell/gateway/orders.py
@@ -1,4 +1,4 @@
-"""What the engine knows of an order to load, or of a question, that has no answer yet.  No I/O."""
+"""The engine's record of a load order, or of a query, that has no answer yet.  No I/O."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 
 @dataclass(slots=True)
 class Order:
-    """An order that is out; `copies` 0 only asks.  Times are monotonic us; `due_us` 0 where none is told."""
+    """A load order in flight; with `copies` 0 it is a query.  Times are monotonic us; `due_us` 0: no time
+    limit."""
 
     worker: str
     function: str
     copies: int
     sent_us: int
     due_us: int  # when it counts as unanswered
-    timer: int = 0  # of that moment
+    timer: int = 0  # for `due_us`
 
     @property
-    def asks(self) -> bool:
-        """Whether it is a question."""
+    def is_query(self) -> bool:
+        """Whether it only queries how many copies stand."""
         return not self.copies
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -68,10 +68,10 @@
 class Gateway(BatchingLoop):
     """A running gateway.
 
-    `make` builds the module's router; a benchmark puts another in its place.
+    `router_factory` builds the module's router; benchmarks replace it.
     """
 
-    def __init__(self, site: Site, logs: Logs, make: object = None) -> None:
+    def __init__(self, site: Site, logs: Logs, router_factory: object = None) -> None:
         self.site = site
         told = site.told()
         if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may have all that is lent
@@ -82,7 +82,7 @@
         keep = site.ledger
         self.ledger = Ledger(Bounds(keep.keep_s * 1_000_000, keep.entries, keep.bytes))
         seed = self._chance.getrandbits(32)
-        extra = {} if make is None else {"make": make}
+        extra = {} if router_factory is None else {"router_factory": router_factory}
         self.engine = Engine(
             told, self.ledger, seed=seed, margin_us=site.margin_ms * 1_000, max_open=site.open_calls, **extra
         )
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -330,7 +330,7 @@
     while True:
         for _ in range(3):
             await asyncio.sleep(0)
-        idle = not gateway._inputs and not gateway._stepping and not gateway.engine.awaiting
+        idle = not gateway._inputs and not gateway._stepping and not gateway.engine.pending_intents
         if idle and not (gateway.journal and gateway.journal.busy):
             break
         if time.monotonic() > until:
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -72,7 +72,7 @@
         seed = self.world.stream(f"seed/{self.name}").below(1 << 32)
         self.engine = Engine(
             self.plan.told, ledger, seed=seed, margin_us=self.plan.margin_us, max_open=self.plan.max_open,
-            make=self.plan.make,
+            router_factory=self.plan.make,
         )  # fmt: skip
         self._inputs: list[ports.Input] = []
         self._stepping = False
--- a/tests/enginebench.py
+++ b/tests/enginebench.py
@@ -17,10 +17,12 @@
 class Play:
     """`do` gives the engine inputs now; `wait` lets time pass; `out` keeps all that came out."""
 
-    def __init__(self, settings=SETTINGS, workers=("a", "b", "c"), bounds=None, make=Router, **more):
+    def __init__(
+        self, settings=SETTINGS, workers=("a", "b", "c"), bounds=None, router_factory=Router, **more
+    ):
         self.now, self.wall = 100_000_000, 1_700_000_000_000_000
         self.ledger = Ledger(bounds or Bounds(60_000_000, 1_000, 1 << 28))
-        self.engine = Engine(settings, self.ledger, make=make, margin_us=0, **more)
+        self.engine = Engine(settings, self.ledger, router_factory=router_factory, margin_us=0, **more)
         self.out: list[ports.Output] = []
         self.durable = True  # intents reach the disk at once
         if workers is not None:
--- a/tests/socketbench.py
+++ b/tests/socketbench.py
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def gateway(
-    folder, addresses=(), *, more="", listener="", extra="", make=None, orders=False, workers=""
+    folder, addresses=(), *, more="", listener="", extra="", router_factory=None, orders=False, workers=""
 ):
     """A gateway that sends to these workers."""
     named = "; ".join(f'worker "{address}" kind="k"' for address in addresses)
@@ -52,7 +52,7 @@
         "test.kdl",
     )
     log = text.StringIO()
-    one = Gateway(site, Logs("json", "debug", 1_000, log), make)
+    one = Gateway(site, Logs("json", "debug", 1_000, log), router_factory)
     one.lines = log
     await one.start()
     try:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -184,7 +184,7 @@
         workers = [Worker(trace, Machine(), n, {"": 5_000.0}) for n in range(2)]
         addresses = [f"127.0.0.1:{one.start()}" for one in workers]
         trace.note("ready", gw="gw", port=0)
-        async with gateway(tmp_path, addresses, make=make, **more) as gw:
+        async with gateway(tmp_path, addresses, router_factory=make, **more) as gw:
             console = await Console().connect(gw.listener_port)
             await console.call("consigna", "warm-up")
             await fault(console, workers, trace, gw)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -539,7 +539,7 @@
 
 def test_engine_tells_books_made_anew_of_every_worker():
     play = Play()
-    play.engine._rebuild()
+    play.engine._rebuild_router()
     play.do()
     assert set(play.engine.router.workers) == {"a", "b", "c"}
     assert isinstance(play.engine.router.workers["a"].entry, io.WorkerEntry)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -242,9 +242,9 @@
 def test_the_engine_recalls_an_order_that_it_counts_as_unanswered(tmp_path):
     async def main():
         async with Gate(echo) as gate, router(tmp_path, [gate.port], settings=patient()) as node:
-            await until(lambda: node.engine._wheel)
-            node.engine._now = node.clock.now_us()
-            order = Order("s-00000001", KEY, 1, node.engine._now, node.engine._now + 10_000)
+            await until(lambda: node.engine._timer_wheel)
+            node.engine._now_us = node.clock.now_us()
+            order = Order("s-00000001", KEY, 1, node.engine._now_us, node.engine._now_us + 10_000)
             node.engine._track_order(9, order)
             node.link.order(ports.Order(9, "s-00000001", KEY, 1, 10.0, 1))
             await until(lambda: not node.engine._orders)
@@ -791,14 +791,14 @@
 def test_an_input_that_fails_takes_nothing_else_of_its_turn_along(tmp_path):
     async def main():
         async with Worker(echo) as worker, router(tmp_path, [worker.port]) as node, Front(node.port) as front:
-            take, bad = node.engine._arrive, id_(1)
+            take, bad = node.engine._on_arrive, id_(1)
 
             def planted(trigger, at_us):
                 if trigger.key == bad:
                     raise RuntimeError("planted")
                 return take(trigger, at_us)
 
-            node.engine._arrive = planted
+            node.engine._on_arrive = planted
             front.writer.write(b"".join(request(number, fields(id_(number))) for number in (1, 2, 3)))
             assert [(await front.answer(number))[0] for number in (1, 2, 3)] == [502, 200, 200]
             assert not node.front.ids and node.engine.open == 0
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -154,7 +154,7 @@
                 self.actions.append(io.Refuse(call.request.id, 0))
                 self._end(call)
 
-    play = Play(make=Careless)
+    play = Play(router_factory=Careless)
     start = only(play.call("unsafe", "k"), ports.Start)[0]
     play.end(start, Status.RESET)
     assert play.kinds() == ["failed"]
@@ -195,7 +195,7 @@
     play = Play(replace(SETTINGS, second_copies=False))
     start = only(play.call(), ports.Start)[0]
     play.do()
-    out = play.engine._act(io.Cancel(start.id, start.number)) or play.engine._out
+    out = play.engine._execute(io.Cancel(start.id, start.number)) or play.engine._outputs
     assert only(out, ports.Abandon)[0].status is Status.CANCELLED
 
 
@@ -295,7 +295,7 @@
 
 
 def test_a_failure_of_the_module_on_one_call_answers_it_and_concerns_no_other():
-    play = Play(make=Faulty)
+    play = Play(router_factory=Faulty)
     good = only(play.call(function="good"), ports.Start)[0]
     play.call("unsafe", "k", function="bad")
     assert play.kinds() == ["refused"]
@@ -306,7 +306,7 @@
 
 def test_a_failure_on_an_outcome_answers_the_call_that_may_have_run():
     make = type("OnOutcome", (Faulty,), {"on": io.Outcome})
-    play = Play(make=make)
+    play = Play(router_factory=make)
     start = only(play.call("unsafe", "k"), ports.Start)[0]
     play.end(start, Status.RESET)
     assert play.kinds() == ["failed"]
@@ -323,7 +323,7 @@
         )
         return made[-1]
 
-    play = Play(make=make)
+    play = Play(router_factory=make)
     sent = only(play.call("unsafe", "k"), ports.Start)[0]
     play.engine.router.broken = True
     for name in ("one", "two", "three"):  # each fails; the third is not answered but tried on new books
@@ -341,7 +341,7 @@
     settings = replace(ORDERS, classes=SETTINGS.classes, load_free=1, load_share=0, load_window_us=5_000_000)
     play = Play(settings)
     assert only(play.call(), ports.Order)
-    play.engine._rebuild()
+    play.engine._rebuild_router()
     play.do()
     assert len(only(play.out, ports.Order)) == 1
     play.call(function="g")
@@ -377,9 +377,9 @@
     start = only(play.call(), ports.Start)[0]
     out = play.do(ports.Gone("m:1"))
     assert only(out, ports.Withdraw) == [ports.Withdraw(start.id, start.number)]
-    play.engine._out = []
-    play.engine._act(io.Send(start.id, "b", 0))  # as a module does that has not heard of it yet
-    assert not only(play.engine._out, ports.Start)
+    play.engine._outputs = []
+    play.engine._execute(io.Send(start.id, "b", 0))  # as a module does that has not heard of it yet
+    assert not only(play.engine._outputs, ports.Start)
     play.end(start, Status.MOOT)
     assert play.engine.open == 0
 
