--- a/swiftwell/gateway/calls.py
+++ b/swiftwell/gateway/calls.py
@@ -38,15 +38,15 @@
     trigger: Trigger
     request_class: io.RequestClass
     deadline_us: int
-    claimed: bool
+    claimed: bool  # it has claimed its key in the ledger
     waiters: list[Waiter] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    timer: int = 0  # guards its deadline
+    timer: int = 0  # answers the call if the module does not by its deadline
     pending_write: int = 0  # number of the write of its intent; 0 once that is durable or not needed
     settled: bool = False  # it has its final answer; kept while attempts are in flight
-    streaming: bool = False  # its answer has begun
+    streaming: bool = False  # the first byte of its answer has arrived
     may_have_run_before: bool = False  # an earlier call with its key may have run
-    orphan: bool = False  # the module will not answer it; the engine does once its attempts have ended
+    orphan: bool = False  # the engine answers it, not the module, once its attempts have ended
     failures_involved: int = 0  # failures of the module while it handled this call
 
     def ran(self) -> Ran:
@@ -60,7 +60,7 @@
         return result
 
     def send_before_us(self) -> int:
-        """Until when a further attempt may be sent, as workers still drop repeats; 0 without a limit."""
+        """Time after which no further attempt is sent, as workers no longer drop repeats; 0 without one."""
         if self.request_class.effect is not Effect.KEYED:
             return 0
         first_sent = next((attempt for attempt in self.attempts if attempt.ran is not Ran.NEVER), None)
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -102,8 +102,8 @@
         self._calls_by_source: dict[str, dict[str, None]] = {}  # ids of calls, as ordered sets
         self._calls_by_write: dict[int, Call] = {}  # calls whose intent is not durable yet
         self._orders: dict[int, Order] = {}
-        # The last number of a call or load order, the last number of a write, module failures in a row.
-        self._numbers = self._writes = self._faults = 0
+        # Numbers of the last call or load order and of the last write; failures of the module in a row.
+        self._last_number = self._last_write = self._consecutive_failures = 0
         self._attempts_in_flight = 0
         self._router_generation = 0  # rises with each rebuilt router: timers of an earlier one are ignored
         # Workers that are known from the saved state of a killed process only.
@@ -282,8 +282,8 @@
         self._retry_after_us = 0
         if not rejection and self.observer and (wait_us := self.observer.reject_for_us(trigger)):
             rejection, self._retry_after_us = tr.SHED, wait_us
-        self._numbers += 1
-        call = Call(f"c{self._numbers}", trigger, request_class, self._now_us + left_us, False)
+        self._last_number += 1
+        call = Call(f"c{self._last_number}", trigger, request_class, self._now_us + left_us, False)
         intent = None
         if request_class.effect is not Effect.SAFE and self.ledger is not None:
             # The ledger comes before any other reason to reject: a key that has run must not be refused.
@@ -650,7 +650,7 @@
             return
         try:
             actions = self.router.handle(self._now_us, events)
-            self._faults = 0
+            self._consecutive_failures = 0
         except Exception as error:  # whatever it is, other calls must continue
             actions = self._on_module_failure(events, error)
         for action in actions:
@@ -662,7 +662,7 @@
         If its state is broken it fails on every event, and all calls would be answered so.  Then its state is
         rebuilt from what the engine knows.
         """
-        self._faults += 1
+        self._consecutive_failures += 1
         self.counts["faults"] += 1
         traceback = error.__traceback__
         while traceback and traceback.tb_next:
@@ -682,7 +682,7 @@
             self._execute(action)
         if self._rebuilding:
             return []
-        if len(events) > 1 or self._faults >= MAX_CONSECUTIVE_FAILURES:
+        if len(events) > 1 or self._consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             self._rebuild_router()
             return []
         for call in concerned:
@@ -698,7 +698,7 @@
 
         Copy estimates, relative latencies and concurrency limits are lost, as at a restart of the process.
         """
-        old, self._faults, self._rebuilding = self.router, 0, True
+        old, self._consecutive_failures, self._rebuilding = self.router, 0, True
         self.counts["rebuilt"] += 1
         self._router_generation += 1
         self._log("error", "module-rebuilt", calls=len(self._calls))
@@ -802,8 +802,8 @@
 
     def _order_load(self, load: io.Load) -> None:
         function = self.router.functions.get(load.function)
-        self._numbers += 1
-        number, due_us = self._numbers, 0
+        self._last_number += 1
+        number, due_us = self._last_number, 0
         self.counts["orders" if load.copies else "questions"] += 1
         if not load.copies:
             due_us = self._now_us + QUERY_TIMEOUT_US
@@ -925,9 +925,9 @@
         self._outputs.append(ports.Reply(trigger, answer))
 
     def _write(self, record: Record) -> int:
-        self._writes += 1
+        self._last_write += 1
         self._outputs.append(ports.Write(record))
-        return self._writes
+        return self._last_write
 
     def _log(self, level: str, event: str, **fields: object) -> None:
         self._outputs.append(ports.Line(level, event, tuple(fields.items())))
--- a/swiftwell/gateway/ports.py
+++ b/swiftwell/gateway/ports.py
@@ -45,7 +45,7 @@
     draining: bool = False
     too_large: bool = False
     started_us: int = 0  # the worker's start, as it reports it
-    answered: bool = False  # the worker answered at all, whatever the answer
+    answered: bool = False  # the worker gave any answer
     sent_us: int = 0  # when its bytes were handed to the kernel; 0 if not known
 
 
@@ -98,9 +98,8 @@
 
 
 class Saved(Struct, frozen=True):
-    """A worker list from disk or from a peer; each entry with the age in us of its last report, None if
-    unknown.
-    """
+    """A worker list from disk or a peer; each entry with the age in us of its last report, None if
+    unknown."""
 
     entries: tuple[tuple[WorkerEntry, int | None], ...]
 
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -373,7 +373,7 @@
     state.ledger = ledger.records()
     state.running = [(t, k, e.call) for (t, k), e in ledger._entries.items() if e.call]
     state.holes_until, state.shut_why = ledger.gap_until, ledger.closed_reason
-    state.numbers, state.writes, state.counts = engine._numbers, engine._writes, dict(engine.counts)
+    state.numbers, state.writes, state.counts = engine._last_number, engine._last_write, dict(engine.counts)
     # A gateway that hands over asks no worker: each of its orders is for copies.
     state.orders = [
         (number, order.worker, order.function, order.sent_us, order.due_us)
@@ -565,7 +565,7 @@
     for tenant, key, call in state.running:
         ledger.reclaim(tenant, key, call)
     ledger.gap_until, ledger.closed_reason = state.holes_until, state.shut_why
-    engine._numbers, engine._writes = state.numbers, state.writes
+    engine._last_number, engine._last_write = state.numbers, state.writes
     engine.counts.update(state.counts)
     for known in state.roster.known:
         raw = dict(known.pop("entry"))
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -182,7 +182,7 @@
             return
         self.disk += batch
         self._committing = False
-        self.enqueue(ports.Durable(self.engine._writes - len(self._waiting)))
+        self.enqueue(ports.Durable(self.engine._last_write - len(self._waiting)))
         self._flush()
 
     # The link to workers.
--- a/tests/enginebench.py
+++ b/tests/enginebench.py
@@ -33,7 +33,7 @@
         self.out += out
         writes = [o for o in out if isinstance(o, ports.Write)]
         if writes and self.durable:
-            out = out + self.do(ports.Durable(self.engine._writes))
+            out = out + self.do(ports.Durable(self.engine._last_write))
         return out
 
     def wait(self, us, step=1_000):
