--- a/swiftwell/gateway/journal.py
+++ b/swiftwell/gateway/journal.py
@@ -1,13 +1,10 @@
 """The journal of the ledger on disk: an append-only log in segments, with group commit.
 
-A record is `magic(2) length(4) xxh3_64(8) body`, its body msgpack of `effects.Record`.  At the start all
-segments are
-read.  What can't be read at the very end of the last segment is the write that a kill cut short: it is cut
-off.
-Unreadable bytes with a readable record behind them are damage: they are told, and the ledger knows that keys
-may be missing (docs/notes/ledger.md weighs this against SQLite and LMDB, whose recovery takes the first bad
-frame for
-the end).
+A record is `magic(2) length(4) xxh3_64(8) body`, its body the msgpack of `effects.Record`.  All segments are
+read at the start.  Unreadable bytes at the very end of the last segment are a write that was interrupted, and
+are truncated.  Unreadable bytes before a readable record are damage: they are reported, so that the ledger
+knows that keys may be missing (docs/notes/ledger.md compares this with SQLite and LMDB, whose recovery takes
+the first bad frame for the end).
 """
 
 from __future__ import annotations
@@ -26,40 +23,40 @@
 from swiftwell.gateway.effects import Record
 
 MAGIC = b"\xc5\x1e"
-HEAD = struct.Struct(">2sIQ")
-MOST_RECORD = 1 << 20  # bytes: longer lengths are damage; the answers kept are far shorter
-SEGMENT = 8 << 20  # bytes after which a new segment is begun with what still holds
+HEADER = struct.Struct(">2sIQ")
+MAX_RECORD_BYTES = 1 << 20  # longer lengths are damage; the answers kept are far shorter
+SEGMENT_BYTES = 8 << 20  # size after which a new segment is begun with the records that are still valid
 
 
 class JournalError(Exception):
-    """The journal can't be opened or written; the text names the file and what to do."""
+    """The journal can't be opened or written; the text names the file and the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Unreadable bytes inside a segment; lost records are not younger than `until_us`."""
+    """Unreadable bytes inside a segment; the lost records are not younger than `newest_us`."""
 
     file: str
     offset: int
     length: int
-    until_us: int
+    newest_us: int
 
 
 def encode(record: Record) -> bytes:
-    """A record as it lies on disk."""
+    """A record in the form that is stored on disk."""
     body = msgspec.msgpack.encode(record)
-    return HEAD.pack(MAGIC, len(body), xxhash.xxh3_64_intdigest(body)) + body
+    return HEADER.pack(MAGIC, len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
-def _at(data: bytes, offset: int) -> tuple[Record, int] | None:
-    """The record at an offset and where it ends, if a whole and sound one stands there."""
-    if offset + HEAD.size > len(data):
+def _record_at(data: bytes, offset: int) -> tuple[Record, int] | None:
+    """The record at an offset and the offset of its end; None if there is no complete and valid record."""
+    if offset + HEADER.size > len(data):
         return None
-    magic, length, digest = HEAD.unpack_from(data, offset)
-    end = offset + HEAD.size + length
-    if magic != MAGIC or length > MOST_RECORD or end > len(data):
+    magic, length, digest = HEADER.unpack_from(data, offset)
+    end = offset + HEADER.size + length
+    if magic != MAGIC or length > MAX_RECORD_BYTES or end > len(data):
         return None
-    body = data[offset + HEAD.size : end]
+    body = data[offset + HEADER.size : end]
     if xxhash.xxh3_64_intdigest(body) != digest:
         return None
     try:
@@ -69,10 +66,10 @@
 
 
 def scan(data: bytes) -> Iterator[tuple[int, int, Record | None]]:
-    """The stretches of a segment: (start, end, record), with None for unreadable ones."""
+    """The parts of a segment as (start, end, record); the record is None for unreadable bytes."""
     offset = 0
     while offset < len(data):
-        found = _at(data, offset)
+        found = _record_at(data, offset)
         if found:
             yield offset, found[1], found[0]
             offset = found[1]
@@ -83,18 +80,17 @@
             if offset < 0:
                 yield start, len(data), None
                 return
-            if _at(data, offset):
+            if _record_at(data, offset):
                 yield start, offset, None
                 break
 
 
 class Journal:
-    """The log of one ledger, in a folder of its own that one process may hold at a time.
+    """The journal of one ledger, in a folder of its own that one process may hold at a time.
 
-    `append` returns a number; `on_durable(number)` is called, on the caller's thread through `post`, once
-    all records up
-    to it are on disk, and `on_failure(text)` when the disk fails.  Records that come while a commit is under
-    way share the next one.
+    `append` returns a number.  `on_durable(number)` is called through `post`, on the caller's thread, once
+    all records up to that number are on disk; `on_failure(text)` is called when the disk fails.  Records that
+    are appended during a commit share the next one.
     """
 
     def __init__(
@@ -108,21 +104,21 @@
         self._folder, self._post, self._snapshot = folder, post, snapshot
         self._on_durable, self._on_failure = on_durable, on_failure
         self._pool = ThreadPoolExecutor(1, thread_name_prefix="journal")
-        self._waiting: list[bytes] = []
-        self._number = 0  # of the last record taken
-        self._busy = False
+        self._pending: list[bytes] = []
+        self._last_number = 0  # of the last record appended
+        self._committing = False
         self._fd = -1
         self._segment = 0
         self._size = 0
-        self._base = 0  # size of the segment when it was begun: what still held then
+        self._base_size = 0  # size of the segment when it was begun
         self._lock = -1
         self.commits = 0
         self.failed = ""
 
     def open(self) -> tuple[list[Record], list[Damage]]:
-        """Lock the folder, read what is there, cut off a torn end, and stand ready to append.
+        """Lock the folder, read its records, truncate an incomplete last one, and prepare to append.
 
-        Raises JournalError where the folder can't be used or another process holds it.
+        Raises JournalError if the folder can't be used or another process holds it.
         """
         import fcntl
 
@@ -135,11 +131,11 @@
         except OSError as error:
             raise JournalError(f"{self._folder}: {error.strerror}") from None
         try:
-            return self._read()
+            return self._read_segments()
         except OSError as error:
             raise JournalError(f"{error.filename or self._folder}: {error.strerror}") from None
 
-    def _read(self) -> tuple[list[Record], list[Damage]]:
+    def _read_segments(self) -> tuple[list[Record], list[Damage]]:
         records: list[Record] = []
         damages: list[Damage] = []
         names = sorted(self._folder.glob("*.log"))
@@ -149,7 +145,7 @@
                 if record is None:
                     open_damage = (start, end)
                     continue
-                if open_damage:  # a sound record behind it: not a torn end
+                if open_damage:  # a valid record follows: not an interrupted write
                     damages.append(
                         Damage(str(name), open_damage[0], open_damage[1] - open_damage[0], record.at_us)
                     )
@@ -159,45 +155,47 @@
                 with open(name, "r+b") as file:
                     file.truncate(open_damage[0])
                     os.fsync(file.fileno())
-            elif open_damage:  # the end of a segment that was closed whole
-                until = max((r.at_us for r in records), default=0)
-                damages.append(Damage(str(name), open_damage[0], open_damage[1] - open_damage[0], until))
+            elif open_damage:  # the end of a segment that was complete once
+                newest_us = max((record.at_us for record in records), default=0)
+                damages.append(Damage(str(name), open_damage[0], open_damage[1] - open_damage[0], newest_us))
         self._segment = int(names[-1].stem) if names else 0
         if names:
             self._fd = os.open(names[-1], os.O_WRONLY | os.O_APPEND)
             self._size = os.fstat(self._fd).st_size
         else:
-            self._begin([])
+            self._begin_segment([])
         return records, damages
 
     @property
     def busy(self) -> bool:
-        """Something is not on disk yet."""
-        return self._busy or (bool(self._waiting) and not self.failed)
+        """Whether a record is not on disk yet."""
+        return self._committing or (bool(self._pending) and not self.failed)
 
     def adopt(self, lock: int, segment: int, number: int) -> None:
-        """Go on with a journal that another process had, by its lock; it writes no more.  Raises OSError.
+        """Continue the journal of a process that has stopped writing, with its lock.  Raises OSError.
 
-        `number` is that of its last record: an engine that counts on goes on waiting for the same numbers.
+        `number` is that of its last record, as the engine continues its count and waits for the same numbers.
         """
-        self._lock, self._segment, self._number = lock, segment, number
+        self._lock, self._segment, self._last_number = lock, segment, number
         self._fd = os.open(self._folder / f"{segment:08d}.log", os.O_WRONLY | os.O_APPEND)
-        self._size = self._base = os.fstat(self._fd).st_size
+        self._size = self._base_size = os.fstat(self._fd).st_size
 
-    def _begin(self, records: list[Record]) -> None:
-        """Begin a segment with what still holds, then drop the older ones: in that order, so a kill loses
-        nothing."""
+    def _begin_segment(self, records: list[Record]) -> None:
+        """Begin a segment with the records that are still valid, then delete the older segments.
+
+        In this order, so that a kill loses nothing.
+        """
         old = sorted(self._folder.glob("*.log"))
         path = self._folder / f"{self._segment + 1:08d}.log"
-        part = path.with_suffix(".part")
-        blob = b"".join(map(encode, records))
-        fd = os.open(part, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, 0o600)
+        temporary = path.with_suffix(".part")
+        data = b"".join(map(encode, records))
+        fd = os.open(temporary, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, 0o600)
         try:
-            _write(fd, blob)
+            _write_all(fd, data)
             os.fsync(fd)
         finally:
             os.close(fd)
-        os.rename(part, path)
+        os.rename(temporary, path)
         folder = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -206,58 +204,60 @@
         fd = os.open(path, os.O_WRONLY | os.O_APPEND)
         if self._fd >= 0:
             os.close(self._fd)
-        self._fd, self._segment, self._size, self._base = fd, self._segment + 1, len(blob), len(blob)
+        self._fd, self._segment, self._size, self._base_size = fd, self._segment + 1, len(data), len(data)
         for name in old:
             name.unlink()
 
     def append(self, record: Record) -> int:
-        """Take a record for the next commit."""
-        self._number += 1
-        self._waiting.append(encode(record))
-        return self._number
+        """Add a record to the next commit."""
+        self._last_number += 1
+        self._pending.append(encode(record))
+        return self._last_number
 
     def flush(self) -> None:
-        """Start a commit of what waits, unless one is under way; call once per turn of the loop."""
-        if self._busy or not self._waiting or self.failed:
+        """Start a commit of the pending records, unless one is running; called once per loop iteration."""
+        if self._committing or not self._pending or self.failed:
             return
-        batch, self._waiting, self._busy = b"".join(self._waiting), [], True
-        # The snapshot is taken here, on the ledger's own thread; it holds the batch's records already.
-        turn = self._snapshot() if self._size + len(batch) > max(SEGMENT, 2 * self._base) else None
-        self._pool.submit(self._commit, batch, self._number, turn)
-
-    def _commit(self, batch: bytes, number: int, turn: list[Record] | None) -> None:
+        batch, self._pending, self._committing = b"".join(self._pending), [], True
+        # The snapshot is taken here, on the ledger's own thread; it includes the batch's records already.
+        snapshot = (
+            self._snapshot() if self._size + len(batch) > max(SEGMENT_BYTES, 2 * self._base_size) else None
+        )
+        self._pool.submit(self._commit, batch, self._last_number, snapshot)
+
+    def _commit(self, batch: bytes, number: int, snapshot: list[Record] | None) -> None:
         try:
-            if turn is not None:
-                self._begin(turn)
+            if snapshot is not None:
+                self._begin_segment(snapshot)
             else:
-                _write(self._fd, batch)
+                _write_all(self._fd, batch)
                 os.fdatasync(self._fd)
                 self._size += len(batch)
             self.commits += 1
-            self._post(lambda: self._done(number))
+            self._post(lambda: self._on_committed(number))
         except OSError as error:
             text = f"{self._folder}: {error.strerror or error}"
-            # A write may have gone in halfway and an fsync error is told once only: what follows
-            # could not be trusted, so nothing more is written until a restart has read it all again.
-            self._post(lambda: self._broken(text))
+            # A write may be partial, and the kernel reports an fsync error only once.  What follows could not
+            # be trusted, so nothing more is written until a restart has read everything again.
+            self._post(lambda: self._on_write_error(text))
 
-    def _done(self, number: int) -> None:
-        self._busy = False
+    def _on_committed(self, number: int) -> None:
+        self._committing = False
         self._on_durable(number)
         self.flush()
 
-    def _broken(self, text: str) -> None:
-        self._busy, self.failed = False, text
-        self._waiting.clear()
+    def _on_write_error(self, text: str) -> None:
+        self._committing, self.failed = False, text
+        self._pending.clear()
         self._on_failure(text)
 
     def close(self) -> None:
-        """Write what waits and let the folder go."""
+        """Write the pending records and release the folder."""
         self._pool.shutdown(wait=True)
         if self._fd >= 0:
-            if self._waiting and not self.failed:
+            if self._pending and not self.failed:
                 with contextlib.suppress(OSError):
-                    _write(self._fd, b"".join(self._waiting))
+                    _write_all(self._fd, b"".join(self._pending))
                     os.fdatasync(self._fd)
             os.close(self._fd)
         if self._lock >= 0:
@@ -265,7 +265,7 @@
         self._fd = self._lock = -1
 
 
-def _write(fd: int, data: bytes) -> None:
+def _write_all(fd: int, data: bytes) -> None:
     view = memoryview(data)
     while view:
         view = view[os.write(fd, view) :]
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -271,7 +271,7 @@
         self.ledger.evict_expired(self.clock.wall_us())
         for damage in damages:
             self.ledger.gap_until = max(
-                self.ledger.gap_until, damage.until_us + site.ledger.keep_s * 1_000_000
+                self.ledger.gap_until, damage.newest_us + site.ledger.keep_s * 1_000_000
             )
             self.log("error", "ledger-damaged", file=damage.file, offset=damage.offset, bytes=damage.length)
         self.log(
@@ -497,7 +497,7 @@
             return Response(503, {}, b"no live list since the start\n")
         age_ms = max(0, int((time.monotonic() - self._service.heard_at) * 1e3))
         shown = [
-            sources.instance(one.entry, self.clock.wall_of(one.entry.started_us))
+            sources.instance(one.entry, self.clock.wall_ms_of(one.entry.started_us))
             for one in self.engine.roster.known.values()
             if not one.left_us
         ]
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -6,8 +6,8 @@
 import pytest
 
 from swiftwell.fronts.trigger import Answer, Kind
-from swiftwell.gateway.effects import MOST_BODY, Bounds, Ledger, Record, Step, Verdict
-from swiftwell.gateway.journal import HEAD, Journal, JournalError, encode, scan
+from swiftwell.gateway.effects import MAX_BODY_BYTES, Bounds, Ledger, Record, Step, Verdict
+from swiftwell.gateway.journal import HEADER, Journal, JournalError, encode, scan
 from swiftwell.interface import Effect
 
 HOUR = 3_600_000_000
@@ -88,7 +88,7 @@
 
 
 def test_room_for_the_largest_answer_is_set_aside():
-    book = ledger(size=MOST_BODY + 1_000)
+    book = ledger(size=MAX_BODY_BYTES + 1_000)
     assert claim(book, 0, "a") is Verdict.RUN and claim(book, 0, "b") is Verdict.CLOSED
     book.settle(1, "t", "a", SERVED)
     assert book.bytes < 300 and claim(book, 2, "b") is Verdict.RUN
@@ -97,7 +97,7 @@
 def test_a_large_answer_is_told_as_done_without_its_body():
     book = ledger()
     claim(book, 0)
-    book.settle(1, "t", "k", Answer(Kind.SERVED, body=bytes(MOST_BODY + 1)))
+    book.settle(1, "t", "k", Answer(Kind.SERVED, body=bytes(MAX_BODY_BYTES + 1)))
     assert claim(book, 2) is Verdict.ALREADY_DONE and book.bytes < 300
 
 
@@ -164,7 +164,7 @@
     again.journal.close()
 
 
-@pytest.mark.parametrize("cut", [1, 5, HEAD.size, HEAD.size + 3])
+@pytest.mark.parametrize("cut", [1, 5, HEADER.size, HEADER.size + 3])
 def test_a_torn_last_record_is_cut_off(tmp_path, cut):
     fill(tmp_path)
     path = next(tmp_path.glob("*.log"))
@@ -184,13 +184,13 @@
     path = next(tmp_path.glob("*.log"))
     raw = bytearray(path.read_bytes())
     size = len(encode(record(0)))
-    raw[size + HEAD.size + 2] ^= 0xFF
+    raw[size + HEADER.size + 2] ^= 0xFF
     path.write_bytes(raw)
     disk = Disk(tmp_path)
     records, damages = disk.journal.open()
     disk.journal.close()
     assert records == [record(0), record(2)]
-    assert [(d.offset, d.length, d.until_us) for d in damages] == [(size, size, 1_002)]
+    assert [(d.offset, d.length, d.newest_us) for d in damages] == [(size, size, 1_002)]
 
 
 def test_a_full_disk_is_told_once_and_nothing_more_is_written(tmp_path, monkeypatch):
@@ -226,7 +226,7 @@
 
 
 def test_a_new_segment_holds_what_still_holds_and_replaces_the_old(tmp_path, monkeypatch):
-    monkeypatch.setattr("swiftwell.gateway.journal.SEGMENT", 200)
+    monkeypatch.setattr("swiftwell.gateway.journal.SEGMENT_BYTES", 200)
     kept = [record(99)]
     disk = Disk(tmp_path, lambda: kept)
     disk.journal.open()
