--- a/swiftwell/gateway/event_loop.py
+++ b/swiftwell/gateway/event_loop.py
@@ -1,5 +1,5 @@
-"""The turn of the loop that every way in and out shares: take in all that came, step the engine once, carry
-out what it wants.  Nothing is decided here.
+"""Drives the engine from the event loop: collects the inputs of one loop iteration, steps the engine once
+with all of them and executes its outputs.  Nothing is decided here.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 class BatchingLoop:
-    """What fronts and links see of the process that hosts them.
+    """The process as fronts and links see it.
 
-    `engine` and `link` are set by whoever joins the parts.
+    Subclasses set `engine` and `link`, the link to the workers.
     """
 
     engine: Engine
@@ -29,48 +29,48 @@
         self.logs, self._effects = logs, effects
         self.clock = Clock()
         self._loop = IOLoop.current()
-        self.frozen = False  # another process is being given what this one has
+        self.frozen = False  # set while the state is handed over to another process
         self.replies: Counter[tuple[str, str, str]] = Counter()  # class, kind, reason
         self._inputs: list[ports.Input] = []
         self._stepping = False
         self._timer: object = None
         self._timer_us = 0
 
-    # What the fronts see of us.
+    # Called by fronts.
 
     def submit(self, trigger: Trigger) -> None:
-        """Take a trigger."""
+        """Queue a trigger for the engine."""
         self.enqueue(ports.Arrive(trigger, self.clock.now_us()))
 
     def gone(self, source: str) -> None:
-        """A front's peer is gone for good."""
+        """A front's peer has left for good."""
         self.enqueue(ports.Gone(source))
 
     def wall_ms(self) -> float:
-        """Anchored wall time."""
+        """Anchored wall-clock time."""
         return self.clock.wall_ms()
 
     def effect(self, request_class: str) -> io.Effect | None:
-        """What a repeat of a class does."""
+        """The effect of repeating a call of a class; None if the class is unknown."""
         return self._effects.get(request_class)
 
     def load(self) -> tuple[int, int]:
-        """Calls at workers, and calls that wait."""
+        """Attempts in flight, and calls that wait for one."""
         return self.engine.load()
 
     def log(self, level: str, event: str, **fields: object) -> None:
-        """A line for the log."""
+        """Write a log line."""
         self.logs.write(level, event, **fields)
 
-    # BatchingLoop.
+    # Batching.
 
-    def enqueue(self, given: ports.Input) -> None:
-        """Something happened; the engine takes it in this turn of the loop."""
-        self._inputs.append(given)
+    def enqueue(self, input_: ports.Input) -> None:
+        """Queue an input; the engine handles it at the end of this loop iteration."""
+        self._inputs.append(input_)
         self.wake()
 
     def wake(self) -> None:
-        """See to it that this turn has an end, also where the engine is told nothing in it."""
+        """Schedule a step of the engine, even without inputs, so that `_after_step` runs."""
         if not self._stepping and not self.frozen:
             self._stepping = True
             self._loop.add_callback(self._step)
@@ -79,74 +79,74 @@
         if self.frozen:
             self._stepping = False
             return
-        self._stepping = True  # what is put in while outputs are carried out is the next turn's
+        self._stepping = True  # inputs that outputs cause belong to the next step
         inputs, self._inputs = self._inputs, []
         try:
-            for out in self.engine.step(self.clock.now_us(), self.clock.wall_us(), inputs):
-                self._execute_guarded(out)
+            for output in self.engine.step(self.clock.now_us(), self.clock.wall_us(), inputs):
+                self._execute_guarded(output)
             self._after_step()
-        finally:  # else one failure would end all turns
+        finally:  # else one failure would stop all further steps
             self._stepping = False
             if self._inputs:
                 self.wake()
-            self._arm()
+            self._set_timer()
 
-    def _execute_guarded(self, out: ports.Output) -> None:
+    def _execute_guarded(self, output: ports.Output) -> None:
         try:
-            self._execute(out)
-        except Exception as error:  # one output's trouble is not the others'
-            what = f"{type(error).__name__}: {error}"
-            self.log("error", "output-failed", output=type(out).__name__, error=what)
-            # What was begun and failed half-way still ends in the engine's books, else its call stays there.
-            if isinstance(out, ports.Start):
-                self.enqueue(ports.AttemptEnd(out.id, out.number, io.Status.ERROR, Ran.MAYBE))
-            elif isinstance(out, ports.Order):
-                self.enqueue(ports.OrderEnd(out.number, io.Status.ERROR, 0))
+            self._execute(output)
+        except Exception as error:  # must not prevent the other outputs
+            text = f"{type(error).__name__}: {error}"
+            self.log("error", "output-failed", output=type(output).__name__, error=text)
+            # The engine needs an outcome of what failed half-way, else it would keep the call for ever.
+            if isinstance(output, ports.Start):
+                self.enqueue(ports.AttemptEnd(output.id, output.number, io.Status.ERROR, Ran.MAYBE))
+            elif isinstance(output, ports.Order):
+                self.enqueue(ports.OrderEnd(output.number, io.Status.ERROR, 0))
 
     def _after_step(self) -> None:
-        """After the outputs of a turn: what was gathered goes out."""
+        """Called after the outputs of a step, to flush what they buffered."""
 
-    def _arm(self) -> None:
-        due = self.engine.next_us()
-        if due is None or (self._timer is not None and self._timer_us <= due):
+    def _set_timer(self) -> None:
+        due_us = self.engine.next_us()
+        if due_us is None or (self._timer is not None and self._timer_us <= due_us):
             return
         if self._timer is not None:
             self._loop.remove_timeout(self._timer)
-        self._timer_us = due
-        self._timer = self._loop.call_later(max(0.0, (due - self.clock.now_us()) / 1e6), self._due)
+        self._timer_us = due_us
+        self._timer = self._loop.call_later(max(0.0, (due_us - self.clock.now_us()) / 1e6), self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         if not self._stepping:
             self._step()
 
     def resume(self) -> None:
-        """Step after a rest."""
+        """Step again after a pause for a handover."""
         self._timer = None
         self._step()
 
-    def _execute(self, out: ports.Output) -> None:
-        match out:
+    def _execute(self, output: ports.Output) -> None:
+        match output:
             case ports.Start():
-                self.link.start(out)
+                self.link.start(output)
             case ports.Reply():
-                trigger = out.trigger
+                trigger = output.trigger
                 request_class = trigger.request_class if trigger.request_class in self._effects else ""
-                self.replies[request_class, out.answer.kind.value, out.answer.reason] += 1
-                trigger.ref.connection[0].replied(trigger, out.answer)  # type: ignore[attr-defined]
+                self.replies[request_class, output.answer.kind.value, output.answer.reason] += 1
+                trigger.ref.connection[0].replied(trigger, output.answer)  # type: ignore[attr-defined]
             case ports.Accepted():
-                out.trigger.ref.connection[0].accepted(out.trigger)  # type: ignore[attr-defined]
+                output.trigger.ref.connection[0].accepted(output.trigger)  # type: ignore[attr-defined]
             case ports.Abandon():
-                self.link.abandon(out)
+                self.link.abandon(output)
             case ports.Withdraw():
-                self.link.withdraw(out)
+                self.link.withdraw(output)
             case ports.Order():
-                self.link.order(out)
+                self.link.order(output)
             case ports.Recall():
-                self.link.recall(out)
+                self.link.recall(output)
             case ports.Ask():
-                self.link.ask(out)
+                self.link.ask(output)
             case ports.Line():
-                self.log(out.level, out.event, **dict(out.fields))
+                self.log(output.level, output.event, **dict(output.fields))
             case ports.AskList() | ports.Write():
-                pass  # every source here tells of changes by itself; a ledger's shell writes
+                pass  # sources report changes without a subscription; the gateway's shell handles writes
--- a/swiftwell/gateway/evidence.py
+++ b/swiftwell/gateway/evidence.py
@@ -1,4 +1,4 @@
-"""What the engine learns of workers while the list may be stale, for the decisions and the log.  No I/O."""
+"""Feeds what the engine observes of workers to their leases, for when the list may be stale.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Evidence:
-    """Feeds the leases; `emit` takes what the decisions are to be told, `log` a line."""
+    """Feeds the leases; `emit` passes an event to the module, `log` writes a log line."""
 
     def __init__(
         self, leases: WorkerLeases, emit: Callable[[io.Event], None], log: Callable[..., None]
@@ -19,7 +19,7 @@
         self._leases, self._emit, self._log = leases, emit, log
 
     def advance(self, now_us: int) -> None:
-        """What the age of the list, and workers' own answers, mean to the decisions by now."""
+        """Emit the changes that follow from the age of the list and from workers' answers."""
         for event in self._leases.advance(now_us):
             if isinstance(event, io.ListState):
                 self._log_list(event.stale, now_us)
@@ -31,32 +31,32 @@
         staleness = self._leases.staleness
         if not stale:
             self._log("info", "list-current")
-        elif staleness.current_us is None:  # as after every start, until the source has said that it is so
+        elif staleness.current_us is None:  # as after each start, until the source confirms the list
             self._log("info", "list-unconfirmed")
         else:
-            why, age_ms = staleness.why(), (now_us - staleness.current_us) // 1_000
-            self._log("warning", "list-stale", age_ms=age_ms, why=why)
+            reason, age_ms = staleness.why(), (now_us - staleness.current_us) // 1_000
+            self._log("warning", "list-stale", age_ms=age_ms, why=reason)
 
-    def connection(self, given: ports.WorkerConnected | ports.WorkerDisconnected, now_us: int) -> None:
-        """A connection to a worker came up or ended, told ahead of what it brought."""
-        if isinstance(given, ports.WorkerConnected):
-            self._leases.connected(given.worker, given.at_us)
+    def connection(self, event: ports.WorkerConnected | ports.WorkerDisconnected, now_us: int) -> None:
+        """A connection to a worker was established or closed; called before the outcomes it carried."""
+        if isinstance(event, ports.WorkerConnected):
+            self._leases.connected(event.worker, event.at_us)
             self.advance(now_us)
         else:
-            self._leases.disconnected(given.worker, given.at_us)
+            self._leases.disconnected(event.worker, event.at_us)
 
     def call_ended(self, worker: str, end: ports.AttemptEnd) -> None:
-        """A call that was served was taken, so that its worker did not drain when it came."""
+        """A served call was accepted, so its worker was not draining when the call was sent."""
         if end.status is Status.OK:
             self._leases.took(worker, end.sent_us)
 
-    def order_ended(self, worker: str, end: ports.OrderEnd, asked: bool, now_us: int) -> None:
-        """A worker that drains turns orders and questions away; a question has no other reason to be."""
+    def order_ended(self, worker: str, end: ports.OrderEnd, is_query: bool, now_us: int) -> None:
+        """A draining worker rejects load orders and queries; a query is not rejected for any other reason."""
         if not end.answered:
             return
         if end.status is Status.OK:
             self._leases.took(worker, end.sent_us)
             self.advance(now_us)
-        elif asked and end.status is Status.FULL:
+        elif is_query and end.status is Status.FULL:
             self._leases.turned_away(worker)
             self._log("info", "worker", worker=worker, state="draining", by="its answer")
