--- a/swiftwell/gateway/clock.py
+++ b/swiftwell/gateway/clock.py
@@ -1,8 +1,7 @@
-"""The one clock of a process: steady microseconds, and wall time anchored to them at the start.
+"""The clock of a process: monotonic microseconds, and wall-clock time anchored to them at the start.
 
-Wall time is read once.  A step of the machine's wall clock while the process runs changes nothing here; the
-anchor of
-the next process is its own.
+Wall time is read once.  A step of the machine's wall clock during the run has no effect here; the next
+process reads its own anchor.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 
 
 class Clock:
-    """Steady and anchored wall time."""
+    """Monotonic time and anchored wall-clock time."""
 
     def __init__(self) -> None:
         self.anchor_us = time.time_ns() // 1_000 - time.monotonic_ns() // 1_000
@@ -22,26 +21,25 @@
         return time.monotonic_ns() // 1_000
 
     def wall_us(self) -> int:
-        """Wall-clock microseconds since 1970, anchored."""
+        """Anchored wall-clock microseconds since 1970."""
         return self.anchor_us + self.now_us()
 
     def wall_ms(self) -> float:
-        """The same in milliseconds."""
+        """Anchored wall-clock milliseconds since 1970."""
         return self.wall_us() / 1_000
 
     def started_us(self, wall_ms: float) -> int:
-        """A worker's start by the list's wall clock, as monotonic time; 0 where it is untold or before the
-        machine started.
+        """Convert a worker's start from the list's wall clock to monotonic us; 0 if unknown.
 
-        The same wall time gives the same answer at every look; a start in the future (the
-        list's clock is ahead) stands as it is told, as it names the process as well.
+        The same wall time always gives the same result.  A start in the future (the list's clock is ahead) is
+        not corrected, as a start time also identifies the process.
         """
         if wall_ms <= 0:
             return 0
-        # Negative where it was before this machine's clock began: a restart of the gateway's machine must
-        # not make every worker's start unknown.
+        # Negative if it was before this machine's boot: a reboot of the gateway's machine must not make the
+        # start of every worker unknown.
         return int(wall_ms * 1_000) - self.anchor_us or -1
 
-    def wall_of(self, started_us: int) -> float:
-        """A worker's start in monotonic us as wall-clock ms; 0 where it is untold."""
+    def wall_ms_of(self, started_us: int) -> float:
+        """Convert a worker's start from monotonic us to wall-clock ms; 0 if unknown."""
         return (started_us + self.anchor_us) / 1_000 if started_us else 0.0
--- a/swiftwell/platform/node.py
+++ b/swiftwell/platform/node.py
@@ -230,7 +230,7 @@
         self._loop_lag.tick(time.monotonic())
 
     def _unseen_s(self) -> float:
-        return self._loop_lag.unseen_s(time.monotonic())
+        return self._loop_lag.max_poll_age_s(time.monotonic())
 
     def _seen_us(self) -> int:
         """Monotonic us up to which the loop has surely read all that had come."""
@@ -243,7 +243,7 @@
         for (_, kind, reason), count in self.replies.items():
             kinds[f"{kind}/{reason}"] = kinds.get(f"{kind}/{reason}", 0) + count
         self.log(
-            "info", "figures", lag_ms=round(self._loop_lag.take_worst_s() * 1e3, 1),
+            "info", "figures", lag_ms=round(self._loop_lag.take_max_delay_s() * 1e3, 1),
             cpu_s=round(time.process_time(), 2), memory_mb=_memory_mb(),
             descriptors=_descriptors(), clients=len(front.connections),
             replies=kinds, turned=dict(front.turned.most_common(8)), front=dict(front.counts),
