--- a/swiftwell/gateway/amqp.py
+++ b/swiftwell/gateway/amqp.py
@@ -1,4 +1,7 @@
-"""AMQP brokers of the settings as links.  Apart from the shell: loading the codec is a tenth of a start."""
+"""Links to the AMQP brokers of the settings.
+
+A module of its own, as importing the codec takes a tenth of a gateway's start.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +18,35 @@
 from swiftwell.settings.site import Site, host_port
 
 
-def links(host: Host, site: Site, deadlines: dict[str, float], chance: random.Random) -> list[AmqpLink]:
-    """A link for each broker, not connected yet."""
+def links(
+    host: Host, site: Site, deadlines: dict[str, float], random_source: random.Random
+) -> list[AmqpLink]:
+    """Build a link to each broker, not connected yet."""
     alone = site.gateways == 1
     contract = AmqpContract(site.topic, deadlines, site.hint, alone)
-    return [AmqpLink(host, contract, amqp_link(one, site), chance, alone) for one in site.amqp]
+    return [AmqpLink(host, contract, amqp_link(broker, site), random_source, alone) for broker in site.amqp]
 
 
-def amqp_link(one: AmqpSettings, site: Site) -> AmqpBroker:
-    """A broker of the settings, as its link wants it."""
+def amqp_link(broker: AmqpSettings, site: Site) -> AmqpBroker:
+    """Convert the settings of a broker to those of its link."""
     login = Login(
-        site.name, one.username, one.password, one.vhost, one.heartbeat_s, one.frame_bytes, one.body_bytes
+        site.name,
+        broker.username,
+        broker.password,
+        broker.vhost,
+        broker.heartbeat_s,
+        broker.frame_bytes,
+        broker.body_bytes,
     )
     queues = tuple(
         AmqpQueue(
             queue.name, queue.declare, queue.durable, queue.exchange, queue.exchange_type, queue.key,
             queue.dead_letter, queue.max_priority,
         )
-        for queue in one.queues
+        for queue in broker.queues
     )  # fmt: skip
     return AmqpBroker(
-        one.name, tuple(map(host_port, one.address)), login, queues, one.prefetch_least, one.prefetch_most,
-        Redelivered(one.redelivered), one.dead_letter, one.unroutable, one.waiting_answers, one.open_calls,
-        one.waiting_bytes,
+        broker.name, tuple(map(host_port, broker.address)), login, queues, broker.prefetch_least,
+        broker.prefetch_most, Redelivered(broker.redelivered), broker.dead_letter, broker.unroutable,
+        broker.waiting_answers, broker.open_calls, broker.waiting_bytes,
     )  # fmt: skip
