--- a/swiftwell/starting/follow.py
+++ b/swiftwell/starting/follow.py
@@ -95,7 +95,7 @@
         if not self.zone.reading.reader:
             holds = self.zone.lease.holds(self._link.now_us())
             self._log("info", "list-reader", reading=True, lease=holds)
-        read = rows(members.entries, self._clock.wall_of)
+        read = rows(members.entries, self._clock.wall_ms_of)
         self._passing(lambda: self.zone.told(self._link.now_us(), int(self._clock.wall_ms()), read))
         self._link.wake()
 
