--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -489,7 +489,7 @@
     for _ in range(5):
         logs.write("debug", "quiet")
         logs.write("info", "loud")
-    monkeypatch.setattr(logs, "_since", logs._window_start - 60)
+    monkeypatch.setattr(logs, "_window_start", logs._window_start - 60)
     logs.sweep()
     said = [json.loads(line) for line in out.getvalue().splitlines()]
     assert [one["event"] for one in said] == ["loud", "loud", "lines-left-out"] and said[-1]["kind"] == "loud"
