--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -1,8 +1,7 @@
-"""The shell: joins fronts, engine, ledger, list and workers on one Tornado loop, and carries outputs out.
+"""The shell: connects fronts, engine, ledger, worker list and workers on one Tornado loop.
 
-Everything that happens is put in a list; once in a turn of the loop the engine takes it all in one step.
-Nothing is
-decided here.
+It collects the inputs of one loop iteration, passes them to the engine in one step and executes its outputs.
+Nothing is decided here.
 """
 
 from __future__ import annotations
@@ -60,47 +59,57 @@
 if TYPE_CHECKING:
     from swiftwell.fronts.amqp.link import Link as AmqpLink
 
-STOP_S = 5.0  # s that calls in flight may take once the gateway is told to end; then they get their answers
-SWEEP_S = 1.0
-FLEET_AGAIN_S = 0.5  # s between two tries to open the fleet's socket
+STOP_TIMEOUT_S = 5.0  # that calls in flight may take once the gateway stops; then they are answered
+SWEEP_INTERVAL_S = 1.0
+FLEET_RETRY_S = 0.5  # between attempts to open the fleet's socket
 
 
 class Gateway(BatchingLoop):
     """A running gateway.
 
-    `router_factory` builds the module's router; benchmarks replace it.
+    `router_factory`: builds the module's router; a benchmark passes another one.
     """
 
     def __init__(self, site: Site, logs: Logs, router_factory: object = None) -> None:
         self.site = site
-        told = site.told()
-        if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may have all that is lent
+        settings = site.told()
+        if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may hold all that is lent
             own = Share("cold", len(site.fleet.member)).own
-            told = replace(told, routers=routers(own))
-        super().__init__(logs, {request_class.name: request_class.effect for request_class in told.classes})
-        self._chance = random.Random(f"{site.name}/{self.clock.wall_us()}")
-        keep = site.ledger
-        self.ledger = Ledger(Bounds(keep.keep_s * 1_000_000, keep.entries, keep.bytes))
-        seed = self._chance.getrandbits(32)
-        extra = {} if router_factory is None else {"router_factory": router_factory}
+            settings = replace(settings, routers=routers(own))
+        super().__init__(
+            logs, {request_class.name: request_class.effect for request_class in settings.classes}
+        )
+        self._random = random.Random(f"{site.name}/{self.clock.wall_us()}")
+        limits = site.ledger
+        self.ledger = Ledger(Bounds(limits.keep_s * 1_000_000, limits.entries, limits.bytes))
+        seed = self._random.getrandbits(32)
+        options = {} if router_factory is None else {"router_factory": router_factory}
         self.engine = Engine(
-            told, self.ledger, seed=seed, margin_us=site.margin_ms * 1_000, max_open=site.open_calls, **extra
+            settings,
+            self.ledger,
+            seed=seed,
+            margin_us=site.margin_ms * 1_000,
+            max_open=site.open_calls,
+            **options,
         )
-        w = site.workers
+        workers = site.workers
         bounds = LinkBounds(
-            w.connections, w.connect_ms / 1e3, w.answer_bytes, order_s=w.order_timeout_ms / 1e3
+            workers.connections,
+            workers.connect_ms / 1e3,
+            workers.answer_bytes,
+            order_s=workers.order_timeout_ms / 1e3,
         )
-        self.link = Link(site.name, bounds, self._from_workers, self.log, self.clock.started_us)
-        if w.worker_connections and site.fleet:  # no loan yet
-            self.link.allow(w.worker_connections * Share("", len(site.fleet.member)).own // MILLION)
+        self.link = Link(site.name, bounds, self._on_worker_input, self.log, self.clock.started_us)
+        if workers.worker_connections and site.fleet:  # no loan yet
+            self.link.allow(workers.worker_connections * Share("", len(site.fleet.member)).own // MILLION)
         self.keeper: Keeper | None = None
-        self._service: sources.ListService | None = None
+        self._list_service: sources.ListService | None = None
         self._lock = -1
         self.books = Books(Path(site.state), self.log, self._loop.add_callback)
-        self.resting: list[IOStream] = []
-        self.adopted: Any = None
-        self._opened: dict[str, list[socket.socket]] = {}  # listening already, nothing accepted yet
-        self._offer: Any = None
+        self.paused_streams: list[IOStream] = []  # during a handover
+        self.adopted: Any = None  # state and descriptors taken over, until `take_over`
+        self._early_sockets: dict[str, list[socket.socket]] = {}  # listening, but not accepting yet
+        self._handover_offer: Any = None
         self.journal: Journal | None = None
         self.endpoint: Endpoint | None = None
         self.subscribers: list[Subscriber] = []
@@ -112,7 +121,7 @@
         self._tasks: list[asyncio.Task] = []
         self._health: Server | None = None
         self.health_port = self.listener_port = 0
-        self._sweeper = PeriodicCallback(self._sweep, SWEEP_S * 1_000)
+        self._sweeper = PeriodicCallback(self._sweep, SWEEP_INTERVAL_S * 1_000)
         self.ended = asyncio.Event()
         self._stopping = False
 
@@ -120,30 +129,30 @@
         if self.journal:
             self.journal.flush()
 
-    def _execute(self, out: ports.Output) -> None:
-        if isinstance(out, ports.Write) and self.journal:
-            self.journal.append(out.record)
-        elif isinstance(out, ports.Order) and self.orders:
-            known = self.engine.router.functions.get(out.function)
-            holders = known.holding(self.clock.now_us()) if known else ()
-            self.orders.order(out, len(holders))
-        elif isinstance(out, ports.Recall) and self.orders and self.orders.recall(out):
-            pass  # it had not gone out
+    def _execute(self, output: ports.Output) -> None:
+        if isinstance(output, ports.Write) and self.journal:
+            self.journal.append(output.record)
+        elif isinstance(output, ports.Order) and self.orders:
+            function = self.engine.router.functions.get(output.function)
+            holders = function.holding(self.clock.now_us()) if function else ()
+            self.orders.order(output, len(holders))
+        elif isinstance(output, ports.Recall) and self.orders and self.orders.recall(output):
+            pass  # it was not sent yet
         else:
-            super()._execute(out)
+            super()._execute(output)
 
-    def _from_workers(self, what: ports.Input) -> None:
-        """What happened at a worker."""
-        if isinstance(what, ports.OrderEnd) and self.orders:
-            self.orders.ended(what)
-        if isinstance(what, ports.Asked) and self.watch and self.watch.asked(what):
+    def _on_worker_input(self, input_: ports.Input) -> None:
+        """Handle an input from the link to the workers."""
+        if isinstance(input_, ports.OrderEnd) and self.orders:
+            self.orders.ended(input_)
+        if isinstance(input_, ports.Asked) and self.watch and self.watch.asked(input_):
             return
-        self.enqueue(what)
+        self.enqueue(input_)
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self) -> None:
-        """Open everything; raises JournalError or OSError where something can't be."""
+        """Start the gateway; raises JournalError or OSError if something can't be opened."""
         self._lock_state()
         if self._has_effects:
             self._open_ledger()
@@ -153,14 +162,15 @@
         if self.site.health:
             self.bind("health")
         now = self.clock.now_us()
-        if believed := self.books.load(now, self.clock.anchor_us):
+        if saved := self.books.load(now, self.clock.anchor_us):
             self.engine.start_at(now, self.clock.wall_us())
-            self.engine.restore_router_state(believed)
-        self._go(fresh=True)
-        self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))  # the module sets its first timers
+            self.engine.restore_router_state(saved)
+        self._start_tasks(fresh=True)
+        # So that the module sets its first timers.
+        self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))
 
     def take_over(self) -> None:
-        """Own what `handover.state.restore` has put in; raises OSError."""
+        """Activate what `handover.state.restore` has restored; raises OSError."""
         from swiftwell.handover import state
 
         if self._has_effects:
@@ -168,15 +178,15 @@
         state.activate(self)
         if self.endpoint:
             self.endpoint.begin()
-        self._go(fresh=False)
+        self._start_tasks(fresh=False)
         self.resume()
 
     @property
     def _has_effects(self) -> bool:
         return any(effect is not io.Effect.SAFE for effect in self._effects.values())
 
-    def _go(self, fresh: bool) -> None:
-        """Follow the list, connect to brokers, sweep, and offer to hand over."""
+    def _start_tasks(self, fresh: bool) -> None:
+        """Start to follow the worker list, connect to brokers, sweep, and offer a handover."""
         from swiftwell.handover.old import Offer
 
         self._follow_list(fresh)
@@ -185,22 +195,23 @@
         if self.site.fleet:
             self._tasks.append(asyncio.ensure_future(self._join_fleet()))
         self._sweeper.start()
-        self._offer = Offer(self)
-        self._offer.open()
-        self._tasks.append(asyncio.ensure_future(self._offer.run()))
+        self._handover_offer = Offer(self)
+        self._handover_offer.open()
+        self._tasks.append(asyncio.ensure_future(self._handover_offer.run()))
 
     def build_fronts(self) -> None:
-        """Fronts without their sockets."""
+        """Build the fronts, without their sockets."""
         site = self.site
         deadlines, alone = site.deadlines_ms(), site.gateways == 1
         if site.listener:
-            at = site.listener
+            listener = site.listener
             contract = Contract(site.topic, deadlines, site.hint, True, alone)
             bounds = EndpointBounds(
-                at.connections, at.sessions, at.receive_maximum, at.packet_bytes, at.waiting_bytes,
-                at.waiting_answers, at.open_calls, at.session_s, at.keep_alive_s,
+                listener.connections, listener.sessions, listener.receive_maximum, listener.packet_bytes,
+                listener.waiting_bytes, listener.waiting_answers, listener.open_calls, listener.session_s,
+                listener.keep_alive_s,
             )  # fmt: skip
-            self.endpoint = Endpoint(self, contract, bounds, self._admit)
+            self.endpoint = Endpoint(self, contract, bounds, self._authenticate)
         for broker in site.brokers:
             contract = Contract(site.topic, deadlines, site.hint, False, alone)
             link = BrokerLink(
@@ -210,50 +221,52 @@
                 broker.receive_maximum, broker.packet_bytes, answers=broker.waiting_answers,
                 open=broker.open_calls,
             )  # fmt: skip
-            self.subscribers.append(Subscriber(self, contract, link, self._chance))
-        if site.amqp:  # a tenth of a start, for those who use it
+            self.subscribers.append(Subscriber(self, contract, link, self._random))
+        if site.amqp:  # imported only if used: it takes a tenth of a start
             from swiftwell.gateway.amqp import links
 
-            self.amqp += links(self, site, deadlines, self._chance)
+            self.amqp += links(self, site, deadlines, self._random)
         if site.health:
-            self._health = Server(self._answer)
+            self._health = Server(self._handle_http)
 
-    def open_new(self, offered: list[tuple[str, str, int]]) -> None:
-        """Open the listening sockets that the running process does not have; raises OSError.
+    def open_new_listeners(self, offered: list[tuple[str, str, int]]) -> None:
+        """Open the listening sockets that the running process does not offer; raises OSError.
 
-        Nothing is accepted from them before `take_over`.
+        No connection is accepted from them before `take_over`.
         """
-        for name, at in (("mqtt", self.site.listener), ("health", self.site.health)):
-            if at and not any(one[0] == name and self.wants_listener(*one) for one in offered):
-                self._opened[name] = bind_sockets(at.port, at.address, backlog=1_024)
+        for name, settings in (("mqtt", self.site.listener), ("health", self.site.health)):
+            if settings and not any(
+                listener[0] == name and self.wants_listener(*listener) for listener in offered
+            ):
+                self._early_sockets[name] = bind_sockets(settings.port, settings.address, backlog=1_024)
 
     def bind(self, name: str) -> None:
-        """Listen; raises OSError."""
-        opened = self._opened.pop(name, None)
+        """Start to listen; raises OSError."""
+        sockets = self._early_sockets.pop(name, None)
         if name == "mqtt" and self.endpoint and self.site.listener:
-            at = self.site.listener
-            self.listener_port = self.endpoint.listen(at.port, at.address, opened)
-            self.log("info", "listening", address=f"{at.address}:{self.listener_port}")
+            listener = self.site.listener
+            self.listener_port = self.endpoint.listen(listener.port, listener.address, sockets)
+            self.log("info", "listening", address=f"{listener.address}:{self.listener_port}")
         elif name == "health" and self._health and self.site.health:
-            self.health_port = self._health.start_on(self.site.health.port, self.site.health.address, opened)
+            self.health_port = self._health.start_on(self.site.health.port, self.site.health.address, sockets)
 
     def wants_listener(self, name: str, address: str, port: int) -> bool:
-        """Whether a listening socket of another process is the one that these settings name."""
-        at = self.site.listener if name == "mqtt" else self.site.health
-        same = at is not None and at.address == address and at.port in (0, port)
+        """Whether a listening socket of another process is the one that the settings name."""
+        settings = self.site.listener if name == "mqtt" else self.site.health
+        same = settings is not None and settings.address == address and settings.port in (0, port)
         if same and name == "mqtt":
             self.listener_port = port
         elif same:
             self.health_port = port
         return same
 
-    def nobody(self) -> Peer:
-        """A peer for answers that can't go anywhere any more."""
+    def discarding_peer(self) -> Peer:
+        """A peer that discards answers whose recipient is gone."""
         contract = Contract(self.site.topic, {}, self.site.hint, True, True)
         return Peer(self, contract, "nobody:", "", Session(1, 0), 1 << 30)
 
     def _lock_state(self) -> None:
-        """One process for each state folder: two would write over each other's ledger and list."""
+        """Lock the state folder: two processes would overwrite each other's ledger and list."""
         folder = Path(self.site.state)
         folder.mkdir(parents=True, exist_ok=True)
         self._lock = os.open(folder / "lock", os.O_CREAT | os.O_RDWR, 0o600)
@@ -293,20 +306,20 @@
 
     def _follow_list(self, fresh: bool) -> None:
         workers = self.site.workers
-        told = self._listed
+        on_list = self._on_list
         if workers.list:
-            told_saved = lambda entries: self.enqueue(ports.Saved(entries))  # noqa: E731
-            self._service = sources.ListService(
+            on_saved_list = lambda entries: self.enqueue(ports.Saved(entries))  # noqa: E731
+            self._list_service = sources.ListService(
                 workers.list.servers,
                 workers.list.service,
                 workers.list.wait_s,
                 self.site.name,
                 self.clock.started_us,
-                told,
+                on_list,
                 self.log,
-                self._chance,
+                self._random,
                 workers.list.peers,
-                told_saved,
+                on_saved_list,
             )
             if workers.list.save:
                 folder = Path(self.site.state) / "list"
@@ -314,149 +327,165 @@
                     folder, self.clock, self.engine.roster, self.log, self._loop.add_callback
                 )
                 if fresh and (entries := self.keeper.load()):
-                    told_saved(entries)
+                    on_saved_list(entries)
             if not (self.site.fleet and self.site.fleet.one_reader):
-                self._tasks.append(asyncio.ensure_future(self._service.run()))
+                self._tasks.append(asyncio.ensure_future(self._list_service.run()))
         elif workers.file:
-            watching = sources.watch_file(Path(workers.file), self.clock.started_us, told, self.log)
+            watching = sources.watch_file(Path(workers.file), self.clock.started_us, on_list, self.log)
             self._tasks.append(asyncio.ensure_future(watching))
         else:
-            told(sources.static(workers))
+            on_list(sources.static(workers))
 
-    def _listed(self, members: io.Members) -> None:
-        """A list from its source; with a reader for the zone it is told to the others as well."""
+    def _on_list(self, members: io.Members) -> None:
+        """Handle a worker list from its source; with one reader for the zone, also pass it to the others."""
         if self.follower:
             self.follower.told(members)
         else:
-            self._tell_list(members)
+            self._enqueue_list(members)
 
-    def _tell_list(self, members: io.Members) -> None:
+    def _enqueue_list(self, members: io.Members) -> None:
         self.enqueue(ports.Listed(members))
 
     async def _join_fleet(self) -> None:
-        """Calls are served meanwhile, and without a fleet as well: nothing of them waits for it."""
+        """Join the fleet; calls are served meanwhile, and also without a fleet."""
         fleet = self.site.fleet
         assert fleet
-        names = tuple(one.name for one in fleet.member)
+        names = tuple(member.name for member in fleet.member)
         me = names.index(self.site.name)
         zone = fleet.member[me].zone
-        shared = tuple(number for number, one in enumerate(fleet.member) if one.zone == zone)
-        zones = len({one.zone for one in fleet.member})
-        alone: asyncio.Task | None = None
+        zone_members = tuple(number for number, member in enumerate(fleet.member) if member.zone == zone)
+        zones = len({member.zone for member in fleet.member})
+        own_list_task: asyncio.Task | None = None
         while True:
             try:
-                told = FleetSettings(
+                settings = FleetSettings(
                     names,
                     me,
                     fleet.epoch,
                     fleet.voters,
                     fleet.term_ms * 1_000,
                     fleet.period_ms * 1_000,
-                    tuple(one.lease for one in fleet.drill),
+                    tuple(drill.lease for drill in fleet.drill),
                     fleet.budgets,
                     fleet.before,
-                    self._boards(zone, shared),
+                    self._replicated_logs(zone, zone_members),
                     key_of(fleet.key_file),
                 )
-                addresses = tuple(host_port(one.at) for one in fleet.member)
+                addresses = tuple(host_port(member.at) for member in fleet.member)
                 listen = host_port(fleet.listen) if fleet.listen else addresses[me]
-                link = FleetLink(told, listen, addresses, self.log)
+                link = FleetLink(settings, listen, addresses, self.log)
                 await link.start()
                 break
-            except OSError as error:  # a predecessor may still have the socket; a key file may come later
+            except OSError as error:
+                # The previous process may still hold the socket, or the key file may be written later.
                 self.log("error", "fleet-not-joined", why=str(error))
-                if fleet.one_reader and self._service and alone is None:
-                    alone = asyncio.ensure_future(self._service.run())
-                    self._tasks.append(alone)
-                await asyncio.sleep(FLEET_AGAIN_S)
-        if alone:
-            alone.cancel()
-            self._tasks.remove(alone)
+                if fleet.one_reader and self._list_service and own_list_task is None:
+                    own_list_task = asyncio.ensure_future(self._list_service.run())
+                    self._tasks.append(own_list_task)
+                await asyncio.sleep(FLEET_RETRY_S)
+        if own_list_task:
+            own_list_task.cancel()
+            self._tasks.remove(own_list_task)
         self.fleet = link
         self.log("info", "fleet-joined", members=len(names), epoch=fleet.epoch)
-        if fleet.one_reader and self._service:
+        if fleet.one_reader and self._list_service:
             self.follower = Follower(
-                link, f"list/{zone}", fleet.list_rate / zones, self.clock, self._tell_list, self.log,
-                Backoff(self._chance),
+                link, f"list/{zone}", fleet.list_rate / zones, self.clock, self._enqueue_list, self.log,
+                Backoff(self._random),
             )  # fmt: skip
-            self.follower.service = self._service
+            self.follower.service = self._list_service
             self._tasks.append(asyncio.ensure_future(self.follower.run()))
         if fleet.sites:
-            homes = [one.zone for one in fleet.member]
+            zone_of_member = [member.zone for member in fleet.member]
             self.watch = Watch(
-                link, homes, self._ranks(), self.engine, self.clock, self.link.ask, self.log,
-                self._chance.getrandbits(32),
+                link, zone_of_member, self._class_ranks(), self.engine, self.clock, self.link.ask, self.log,
+                self._random.getrandbits(32),
             )  # fmt: skip
             self._tasks.append(asyncio.ensure_future(self.watch.run()))
-        looks: list[Callable[[], None]] = []
+        periodic_tasks: list[Callable[[], None]] = []
         if fleet.one_order:
             self.orders = Orders(link, self.link.order, self.enqueue)
-            looks.append(self.orders.look)
+            periodic_tasks.append(self.orders.look)
         if "cold" in fleet.budgets:
-            looks.append(self._acting_by_part(link))
+            periodic_tasks.append(self._budget_updater(link))
         if "connections" in fleet.budgets:
-            looks.append(lambda: self._connect_by_part(link))
-        if looks:
-            self._tasks.append(asyncio.ensure_future(self._keep_looking(looks)))
+            periodic_tasks.append(lambda: self._limit_connections(link))
+        if periodic_tasks:
+            self._tasks.append(asyncio.ensure_future(self._run_periodically(periodic_tasks)))
         drills = [
-            Drill(link, one.lease, self.site.name, host_port(one.resource), one.act_ms / 1e3, self.log).run()
-            for one in fleet.drill
+            Drill(
+                link, drill.lease, self.site.name, host_port(drill.resource), drill.act_ms / 1e3, self.log
+            ).run()
+            for drill in fleet.drill
         ]
         await asyncio.gather(*drills)
 
-    def _boards(self, zone: str, shared: tuple[int, ...]) -> tuple[tuple[str, tuple[int, ...]], ...]:
-        """The notice boards of this gateway: its zone's list, and the return of each site."""
+    def _replicated_logs(
+        self, zone: str, zone_members: tuple[int, ...]
+    ) -> tuple[tuple[str, tuple[int, ...]], ...]:
+        """This gateway's replicated logs with their members: its zone's list, and each site's recovery."""
         fleet = self.site.fleet
         assert fleet
-        found = [(f"list/{zone}", shared)] if fleet.one_reader else []
+        logs = [(f"list/{zone}", zone_members)] if fleet.one_reader else []
         if fleet.sites:
-            everybody = tuple(range(len(fleet.member)))
-            found += [(BOARD + name, everybody) for name in sorted({one.zone for one in fleet.member})]
-        return tuple(found)
+            all_members = tuple(range(len(fleet.member)))
+            logs += [(BOARD + name, all_members) for name in sorted({member.zone for member in fleet.member})]
+        return tuple(logs)
 
-    def _ranks(self) -> list[Rank]:
-        """Classes in the order of sacrifice, without a plan: each the same part of the work."""
+    def _class_ranks(self) -> list[Rank]:
+        """Classes in the order of shedding, if there is no plan; each has the same share of the work."""
         fleet, classes = self.site.fleet, self.site.classes
         assert fleet
-        named = [one for request_class in fleet.sacrifice for one in classes if one.name == request_class]
-        rest = sorted((one for one in classes if one not in named), key=lambda one: (one.worth, one.name))
-        return [Rank(one.name, "", 1 / len(classes), 1.0) for one in (*rest, *named)]
+        named = [
+            settings
+            for request_class in fleet.sacrifice
+            for settings in classes
+            if settings.name == request_class
+        ]
+        others = sorted(
+            (settings for settings in classes if settings not in named),
+            key=lambda settings: (settings.worth, settings.name),
+        )
+        return [Rank(settings.name, "", 1 / len(classes), 1.0) for settings in (*others, *named)]
 
     @staticmethod
-    async def _keep_looking(looks: list[Callable[[], None]]) -> None:
-        """What is looked at now and then, all in one turn of the loop."""
+    async def _run_periodically(tasks: list[Callable[[], None]]) -> None:
+        """Run the tasks every `LOOK_S`, all in one iteration of the loop."""
         while True:
-            for look in looks:
-                look()
+            for task in tasks:
+                task()
             await asyncio.sleep(LOOK_S)
 
-    def _acting_by_part(self, link: FleetLink) -> Callable[[], None]:
-        """Tell the module what part of the fleet's budget for starting workers is ours."""
+    def _budget_updater(self, link: FleetLink) -> Callable[[], None]:
+        """A task that tells the module this gateway's share of the fleet's budget for starting workers."""
         share = link.node.shares["cold"]
-        part, before = Part(share.own), (0, 0)
+        part, previous = Part(share.own), (0, 0)
 
-        def look() -> None:
-            nonlocal before
+        def update() -> None:
+            nonlocal previous
             now = link.now_us()
-            divide, until = part.look(now, share.parts(now)), share.ends(now)
-            if (divide, until) != before:
-                before = divide, until
-                ends = self.clock.now_us() + until - now if until else 0
-                self.engine.set_budget_divisor(divide, ends, routers(share.own))
-                self.log("debug", "fleet-part", routers=divide, at_us=self.clock.now_us(), until_us=ends)
+            divisor, expires_at = part.look(now, share.parts(now)), share.ends(now)
+            if (divisor, expires_at) != previous:
+                previous = divisor, expires_at
+                expires_us = self.clock.now_us() + expires_at - now if expires_at else 0
+                self.engine.set_budget_divisor(divisor, expires_us, routers(share.own))
+                self.log(
+                    "debug", "fleet-part", routers=divisor, at_us=self.clock.now_us(), until_us=expires_us
+                )
 
-        return look
+        return update
 
-    def _connect_by_part(self, link: FleetLink) -> None:
-        """Keep to our part of the connections that a worker holds from all gateways.
+    def _limit_connections(self, link: FleetLink) -> None:
+        """Limit this gateway's connections to its share of those that a worker accepts from all gateways.
 
-        Rises and falls at once, half a step late at most; a process that stands still keeps what is open.
+        The limit rises and falls at once, at most half a period late; a process that is paused keeps its open
+        connections.
         """
         share, now = link.node.shares["connections"], link.now_us()
         parts = min(share.parts(now), share.parts(now + int(2e6 * LOOK_S)))
         self.link.allow(self.site.workers.worker_connections * parts // MILLION)
 
-    def _admit(self, packet: Connect) -> Reason | None:
+    def _authenticate(self, packet: Connect) -> Reason | None:
         users = self.site.listener.user if self.site.listener else ()
         if not users:
             return None
@@ -465,53 +494,52 @@
                 return None
         return Reason.BAD_CREDENTIALS
 
-    async def _answer(self, request: Request, stream: IOStream) -> Response:
+    async def _handle_http(self, request: Request, stream: IOStream) -> Response:
         if request.target == "/healthz":
             up = "up" if not self._stopping else "stopping"
             return Response(200 if not self._stopping else 503, {}, f"{up}\n".encode())
-        if request.target == "/readyz":  # a balancer of clients sends nobody to one that can serve nobody
-            ready = not self._stopping and any(one.ready for one in self.engine.router.workers.values())
+        if request.target == "/readyz":  # so that load balancers avoid a gateway without a ready worker
+            ready = not self._stopping and any(worker.ready for worker in self.engine.router.workers.values())
             return Response(200 if ready else 503, {}, b"ready\n" if ready else b"no worker is known\n")
         if request.target == "/fleet":
-            told = self.fleet.node.status(self.fleet.now_us()) if self.fleet else None
-            if told is not None and self.watch:
-                told |= self.watch.status()
-            return Response(200, {"content-type": "application/json"}, msgspec.json.encode(told) + b"\n")
+            status = self.fleet.node.status(self.fleet.now_us()) if self.fleet else None
+            if status is not None and self.watch:
+                status |= self.watch.status()
+            return Response(200, {"content-type": "application/json"}, msgspec.json.encode(status) + b"\n")
         if request.target.startswith("/sites/") and request.method == "POST" and self.watch:
-            site, _, what = request.target[7:].rpartition("/")
-            why = self.watch.order(site, what, request.headers.get("swiftwell-who", "unknown"))
-            return Response(200 if not why else 404, {}, f"{why or 'ordered'}\n".encode())
+            site, _, command = request.target[7:].rpartition("/")
+            error = self.watch.order(site, command, request.headers.get("swiftwell-who", "unknown"))
+            return Response(200 if not error else 404, {}, f"{error or 'ordered'}\n".encode())
         if request.target == "/metrics":
-            from swiftwell.gateway.metrics import page  # a tenth of a start, for those who ask
+            from swiftwell.gateway.metrics import page  # imported only if used: it takes a tenth of a start
 
             return Response(200, {"content-type": "text/plain"}, page(self))
-        if request.target.startswith("/v1/health/service/") and self._service:
+        if request.target.startswith("/v1/health/service/") and self._list_service:
             return self._list_for_peers()
         return Response(404, {}, b"no such page\n")
 
     def _list_for_peers(self) -> Response:
-        """What this gateway knows of workers, with the age of its live list, for one that starts without
-        any."""
-        assert self._service
-        if not self._service.heard_at:
+        """The known workers and the age of the live list, for a gateway that starts without a list."""
+        assert self._list_service
+        if not self._list_service.heard_at:
             return Response(503, {}, b"no live list since the start\n")
-        age_ms = max(0, int((time.monotonic() - self._service.heard_at) * 1e3))
-        shown = [
-            sources.instance(one.entry, self.clock.wall_ms_of(one.entry.started_us))
-            for one in self.engine.roster.known.values()
-            if not one.left_us
+        age_ms = max(0, int((time.monotonic() - self._list_service.heard_at) * 1e3))
+        instances = [
+            sources.instance(known.entry, self.clock.wall_ms_of(known.entry.started_us))
+            for known in self.engine.roster.known.values()
+            if not known.left_us
         ]
-        headers = {"x-consul-index": str(self._service.index), "x-swiftwell-age-ms": str(age_ms)}
-        return Response(200, headers, msgspec.json.encode(shown))
+        headers = {"x-consul-index": str(self._list_service.index), "x-swiftwell-age-ms": str(age_ms)}
+        return Response(200, headers, msgspec.json.encode(instances))
 
     def sizes(self) -> dict[str, int]:
-        """The size of everything held."""
-        found = tables(self.engine) | self.link.sizes()
+        """The size of each table, queue and pool."""
+        sizes = tables(self.engine) | self.link.sizes()
         if self.endpoint:
-            found |= {"connections": self.endpoint.connections, "sessions": len(self.endpoint.clients)}
+            sizes |= {"connections": self.endpoint.connections, "sessions": len(self.endpoint.clients)}
         for link in self.amqp:
-            found |= {f"{link.link.name}_{name}": size for name, size in link.consumer.sizes().items()}
-        return found
+            sizes |= {f"{link.link.name}_{name}": size for name, size in link.consumer.sizes().items()}
+        return sizes
 
     def _sweep(self) -> None:
         self.link.sweep()
@@ -521,25 +549,25 @@
             lambda: snapshot.take(self.engine.router, calls=False),
             self.clock.anchor_us,
         )
-        if self.keeper and self._service:
-            self.keeper.epoch = self._service.index
-            self.keeper.look(int(self._service.heard_at * 1e6))
+        if self.keeper and self._list_service:
+            self.keeper.epoch = self._list_service.index
+            self.keeper.look(int(self._list_service.heard_at * 1e6))
 
     async def stop(self) -> None:
-        """Take nothing new, let calls in flight end, answer what is left, close."""
+        """Accept nothing new, let calls in flight end, answer the remaining ones, and close."""
         if self._stopping:
             return
-        while self.frozen:  # a handover is at its last step: it ends within its limit, one way or the other
+        while self.frozen:  # a handover is in its last step, which has a time limit
             await asyncio.sleep(0.01)
         self._stopping = True
         self.log("info", "stopping", calls=self.engine.open)
         if self.endpoint:
             self.endpoint.stop_listening()
         self.enqueue(ports.Stop())
-        until = self.clock.now_us() + int(STOP_S * 1e6)
-        while self.engine.open and self.clock.now_us() < until:
+        deadline_us = self.clock.now_us() + int(STOP_TIMEOUT_S * 1e6)
+        while self.engine.open and self.clock.now_us() < deadline_us:
             await asyncio.sleep(0.02)
-        await asyncio.sleep(0.05)  # the last answers go out
+        await asyncio.sleep(0.05)  # for the last answers to be sent
         for link in (*self.subscribers, *self.amqp):
             link.close()
         if self.endpoint:
@@ -557,21 +585,21 @@
         if self.keeper:
             self.keeper.close()
         self.books.close()
-        if self._offer:
-            self._offer.close()
+        if self._handover_offer:
+            self._handover_offer.close()
         if self._lock >= 0:
             os.close(self._lock)
         self.log("info", "stopped")
         self.ended.set()
 
     def on_signals(self, successor: list[str] | None = None) -> None:
-        """End at SIGTERM and SIGINT; at SIGUSR2 start a successor with these words, which takes over."""
+        """Stop on SIGTERM and SIGINT; on SIGUSR2 start a successor, which takes over, by this command line."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, lambda: asyncio.ensure_future(self.stop()))
         if successor:
-            loop.add_signal_handler(signal.SIGUSR2, self._succeed, successor)
+            loop.add_signal_handler(signal.SIGUSR2, self._start_successor, successor)
 
-    def _succeed(self, words: list[str]) -> None:
-        self.log("info", "successor", words=" ".join(words))
-        subprocess.Popen(words, start_new_session=True, stdin=subprocess.DEVNULL)
+    def _start_successor(self, command: list[str]) -> None:
+        self.log("info", "successor", words=" ".join(command))
+        subprocess.Popen(command, start_new_session=True, stdin=subprocess.DEVNULL)
--- a/swiftwell/handover/new.py
+++ b/swiftwell/handover/new.py
@@ -52,7 +52,7 @@
     if "listeners" in offer:
         try:
             # Found now, while the old process serves: after the commit nobody could carry on.
-            gateway.open_new([(name, address, port) for name, address, port in offer["listeners"]])
+            gateway.open_new_listeners([(name, address, port) for name, address, port in offer["listeners"]])
         except (OSError, ValueError, TypeError) as error:
             raise Broken(f"a new listener can't be opened: {error}") from error
     channel.send("prepared", HELLO_S)
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -320,8 +320,8 @@
     for _, server in _servers(gateway):
         for fd in list(server._handlers):
             server._handlers.pop(fd)()
-    gateway.resting = _streams(gateway)
-    for stream in gateway.resting:
+    gateway.paused_streams = _streams(gateway)
+    for stream in gateway.paused_streams:
         _rest(stream)
     gateway.link.hold(True)
     _sweeping(gateway, False)
@@ -342,9 +342,9 @@
 def thaw(gateway: Gateway) -> None:
     """Go on as if nothing had been."""
     gateway.frozen = False
-    for stream in gateway.resting:
+    for stream in gateway.paused_streams:
         _wake(stream)
-    gateway.resting = []
+    gateway.paused_streams = []
     for _, server in _servers(gateway):
         server.add_sockets(list(server._sockets.values()))
     gateway.link.hold(False)
@@ -678,7 +678,7 @@
         )
         amqp.also = [_ref_in(also, peers, gateway) for also in one.also]  # type: ignore[misc]
         return amqp
-    peer = peers.get((one.kind, one.name)) or gateway.nobody()
+    peer = peers.get((one.kind, one.name)) or gateway.discarding_peer()
     ref = Ref(
         one.version, (peer, one.generation), one.id, one.qos, one.reply, one.correlation, one.key, one.acked
     )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -595,7 +595,7 @@
                     assert "did not come to rest" in told
                 assert await console.answer(corr) == ("served", "ok")
                 await asyncio.sleep(wait[0] + 0.3)
-                assert not old.frozen and not old.resting
+                assert not old.frozen and not old.paused_streams
             wait[0] = 0.0
             assert await console.call("consigna", "after") == ("served", "ok")
 
