--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -693,8 +693,7 @@
         return []
 
     def _rebuild_router(self) -> None:
-        """Replace the router by a new one with the worker list, the open calls and the counts of rules 4 and
-        5.
+        """Replace the router; it gets the worker list, the open calls, and what rules 4 and 5 count.
 
         Copy estimates, relative latencies and concurrency limits are lost, as at a restart of the process.
         """
@@ -819,8 +818,7 @@
         self._orders[number] = order
 
     def _on_order_timeout(self, number: int) -> None:
-        """Recall a load order that timed out: if it still waits for a connection, it would be sent
-        uncounted."""
+        """Recall a load order that timed out, so that it is not sent uncounted if it waits for a connection."""
         self._outputs.append(ports.Recall(number))
         self._on_order_end(ports.OrderEnd(number, Status.TIMEOUT, 0))
 
--- a/swiftwell/gateway/logs.py
+++ b/swiftwell/gateway/logs.py
@@ -33,7 +33,7 @@
 
     def write(self, level: str, event: str, **fields: object) -> None:
         """Write a line, unless its kind has reached its limit in this window."""
-        if LEVELS[level] < self._min_level:  # not counted as left out
+        if LEVELS[level] < self._min_level:  # not wanted, so not counted as left out
             return
         count = self._counts.get(event, 0)
         self._counts[event] = count + 1
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -593,7 +593,7 @@
         self.ended.set()
 
     def on_signals(self, successor: list[str] | None = None) -> None:
-        """Stop on SIGTERM and SIGINT; on SIGUSR2 start a successor, which takes over, by this command line."""
+        """Stop on SIGTERM and SIGINT; on SIGUSR2 start a successor by this command line, to take over."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, lambda: asyncio.ensure_future(self.stop()))
