--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -818,7 +818,7 @@
         self._orders[number] = order
 
     def _on_order_timeout(self, number: int) -> None:
-        """Recall a load order that timed out, so that it is not sent uncounted if it waits for a connection."""
+        """Recall a load order that timed out: one that waits for a connection must not be sent uncounted."""
         self._outputs.append(ports.Recall(number))
         self._on_order_end(ports.OrderEnd(number, Status.TIMEOUT, 0))
 
