--- a/tests/enginebench.py
+++ b/tests/enginebench.py
@@ -1,4 +1,4 @@
-"""An engine under a hand-held clock: workers, ledger and publishers are played by the test."""
+"""Runs an engine under a simulated clock; the test acts as workers, ledger and publishers."""
 
 from dataclasses import replace
 
@@ -14,8 +14,8 @@
 SETTINGS = replace(PLAIN, classes=(SAFE, replace(KEYED, scope="all"), UNSAFE))
 
 
-class Play:
-    """`do` gives the engine inputs now; `wait` lets time pass; `out` keeps all that came out."""
+class EngineHarness:
+    """`step` passes inputs to the engine; `advance` lets time pass; `outputs` keeps all outputs so far."""
 
     def __init__(
         self, settings=SETTINGS, workers=("a", "b", "c"), bounds=None, router_factory=Router, **more
@@ -23,25 +23,25 @@
         self.now, self.wall = 100_000_000, 1_700_000_000_000_000
         self.ledger = Ledger(bounds or Bounds(60_000_000, 1_000, 1 << 28))
         self.engine = Engine(settings, self.ledger, router_factory=router_factory, margin_us=0, **more)
-        self.out: list[ports.Output] = []
-        self.durable = True  # intents reach the disk at once
+        self.outputs: list[ports.Output] = []
+        self.durable = True  # writes are confirmed at once
         if workers is not None:
-            self.do(ports.Listed(io.Members(io.ListKind.FULL, tuple(map(entry, workers)))))
+            self.step(ports.Listed(io.Members(io.ListKind.FULL, tuple(map(entry, workers)))))
 
-    def do(self, *inputs):
-        out = self.engine.step(self.now, self.wall, inputs)
-        self.out += out
-        writes = [o for o in out if isinstance(o, ports.Write)]
+    def step(self, *inputs):
+        outputs = self.engine.step(self.now, self.wall, inputs)
+        self.outputs += outputs
+        writes = [output for output in outputs if isinstance(output, ports.Write)]
         if writes and self.durable:
-            out = out + self.do(ports.Durable(self.engine._last_write))
-        return out
+            outputs = outputs + self.step(ports.Durable(self.engine._last_write))
+        return outputs
 
-    def wait(self, us, step=1_000):
-        out, end = [], self.now + us
-        while self.now < end:
-            self.now, self.wall = min(end, self.now + step), self.wall + step
-            out += self.do()
-        return out
+    def advance(self, us, step_us=1_000):
+        outputs, end_us = [], self.now + us
+        while self.now < end_us:
+            self.now, self.wall = min(end_us, self.now + step_us), self.wall + step_us
+            outputs += self.step()
+        return outputs
 
     def trigger(self, request_class="safe", key="", left=2_000_000, source="m:1", payload=b"x", **more):
         return Trigger(
@@ -49,20 +49,20 @@
         )
 
     def call(self, request_class="safe", key="", **more):
-        """A trigger arrives; what came out."""
-        return self.do(ports.Arrive(self.trigger(request_class, key, **more)))
+        """Submit a trigger; returns the outputs."""
+        return self.step(ports.Arrive(self.trigger(request_class, key, **more)))
 
-    def end(self, start, status=io.Status.OK, ran=None, body=b"done", **more):
-        """An attempt ends."""
+    def end_attempt(self, start, status=io.Status.OK, ran=None, body=b"done", **more):
+        """End an attempt; returns the outputs."""
         if ran is None:
-            never = status in io.NEVER_RAN
-            ran = Ran.NEVER if never else Ran.YES if status is io.Status.OK else Ran.MAYBE
-        return self.do(ports.AttemptEnd(start.id, start.number, status, ran, body, 50_000, **more))
+            never_ran = status in io.NEVER_RAN
+            ran = Ran.NEVER if never_ran else Ran.YES if status is io.Status.OK else Ran.MAYBE
+        return self.step(ports.AttemptEnd(start.id, start.number, status, ran, body, 50_000, **more))
 
-    def kinds(self):
+    def answer_kinds(self):
         """Kinds of all answers so far, in order."""
-        return [o.answer.kind.value for o in self.out if isinstance(o, ports.Reply)]
+        return [output.answer.kind.value for output in self.outputs if isinstance(output, ports.Reply)]
 
 
-def only(out, kind):
-    return [o for o in out if isinstance(o, kind)]
+def of_type(outputs, type_):
+    return [output for output in outputs if isinstance(output, type_)]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 
 import pytest
 from click.testing import CliRunner
-from enginebench import SETTINGS, Play, only
+from enginebench import SETTINGS, EngineHarness, of_type
 from helpers import entry
 from hypothesis import given
 from hypothesis import strategies as st
@@ -300,47 +300,47 @@
 
 
 def test_a_gateway_without_any_list_refuses_in_time_and_one_with_a_saved_list_serves():
-    play = Play(workers=None)
+    play = EngineHarness(workers=None)
     play.call(left=300_000)
-    play.wait(300_000)
-    assert play.kinds() == ["refused"]
-    out = play.do(ports.Saved(((entry("a"), DAY), (entry("b"), DAY))))
-    assert {o.worker for o in only(out, ports.Ask)} == {"a", "b"}
-    play.do(ports.Asked("a", True), ports.Asked("b", True, draining=True))
+    play.advance(300_000)
+    assert play.answer_kinds() == ["refused"]
+    out = play.step(ports.Saved(((entry("a"), DAY), (entry("b"), DAY))))
+    assert {o.worker for o in of_type(out, ports.Ask)} == {"a", "b"}
+    play.step(ports.Asked("a", True), ports.Asked("b", True, draining=True))
     for number in range(20):
         play.call(function=f"f{number}")
-        play.wait(100_000)
-    assert {s.worker for s in only(play.out, ports.Start)} == {"a"}
+        play.advance(100_000)
+    assert {s.worker for s in of_type(play.outputs, ports.Start)} == {"a"}
 
 
 def test_a_flapping_list_costs_no_warm_belief():
-    play = Play()
-    start = only(play.call(), ports.Start)[0]
-    play.end(start)
+    play = EngineHarness()
+    start = of_type(play.call(), ports.Start)[0]
+    play.end_attempt(start)
     for _ in range(50):
-        play.do(ports.Listed(full()))
-        play.wait(200_000, 20_000)
-        play.do(ports.Listed(full(entry("a"), entry("b"), entry("c"))))
-        play.wait(200_000, 20_000)
+        play.step(ports.Listed(full()))
+        play.advance(200_000, 20_000)
+        play.step(ports.Listed(full(entry("a"), entry("b"), entry("c"))))
+        play.advance(200_000, 20_000)
         if not play.engine.router.workers[start.worker].believed("f", play.now):
             break  # by its idle life, not by the list
     assert play.now - 100_000_000 >= SETTINGS.idle_life_us
 
 
 def test_ten_thousand_replacements_leave_nothing_behind():
-    play = Play(replace(SETTINGS, cold_us=0), workers=())
+    play = EngineHarness(replace(SETTINGS, cold_us=0), workers=())
     sizes = []
     for number in range(10_000):
-        play.do(
+        play.step(
             ports.Listed(
                 full(entry(f"w{number}", started=number + 1), entry(f"v{number % 3}", started=number + 1))
             )
         )
         play.now += 400_000
         if number % 10 == 0:
-            for start in only(play.call(function=f"f{number}"), ports.Start):
-                play.end(start)
-        play.out.clear()
+            for start in of_type(play.call(function=f"f{number}"), ports.Start):
+                play.end_attempt(start)
+        play.outputs.clear()
         if number % 1_000 == 999:
             sizes.append(tables(play.engine))
     assert max(size["workers"] for size in sizes) < 120 and sizes[-1]["roster"] < 120  # 30 s of them linger
@@ -538,9 +538,9 @@
 
 
 def test_engine_tells_books_made_anew_of_every_worker():
-    play = Play()
+    play = EngineHarness()
     play.engine._rebuild_router()
-    play.do()
+    play.step()
     assert set(play.engine.router.workers) == {"a", "b", "c"}
     assert isinstance(play.engine.router.workers["a"].entry, io.WorkerEntry)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 
 import msgspec
 import pytest
-from enginebench import SETTINGS, Play, only
+from enginebench import SETTINGS, EngineHarness, of_type
 from helpers import ORDERS
 from socketbench import SITE, Console, gateway, http, raw_worker, run
 
@@ -36,7 +36,7 @@
 def busy(seed, settings=LOADS):
     """An engine in the middle of its work."""
     chance = random.Random(seed)
-    play = Play(settings, workers=[f"w{n}" for n in range(6)])
+    play = EngineHarness(settings, workers=[f"w{n}" for n in range(6)])
     for number in range(120):
         request_class = chance.choice(["safe", "keyed", "unsafe"])
         play.call(
@@ -45,17 +45,17 @@
             function=f"f{chance.randrange(9)}",
             left=chance.randrange(300_000, 3_000_000),
         )
-        play.wait(chance.randrange(0, 30_000), 5_000)
-        for start in only(play.out, ports.Start):
+        play.advance(chance.randrange(0, 30_000), 5_000)
+        for start in of_type(play.outputs, ports.Start):
             if chance.random() < 0.5:
                 status = chance.choice(
                     [io.Status.OK] * 6 + [io.Status.FULL, io.Status.RESET, io.Status.CONNECT_FAILED]
                 )
-                play.end(start, status)
-        for order in only(play.out, ports.Order):
+                play.end_attempt(start, status)
+        for order in of_type(play.outputs, ports.Order):
             if chance.random() < 0.6:
-                play.do(ports.OrderEnd(order.number, io.Status.OK, 1))
-        play.out.clear()
+                play.step(ports.OrderEnd(order.number, io.Status.OK, 1))
+        play.outputs.clear()
     return play
 
 
@@ -135,7 +135,7 @@
     kept.close()
     believed = kept.load(old.now + 1_000_000, two.anchor_us)
     assert {worker.started_us for worker in believed.workers} == {two.started_us(wall_ms)}
-    play = Play(LOADS, workers=None)
+    play = EngineHarness(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
     play.engine.restore_router_state(believed)
@@ -143,10 +143,10 @@
     workers = old.engine.router.workers.values()
     # A saved list first, whose starts went through other readings of the clocks, then the live one.
     saved = tuple((replace(worker.entry, started_us=start + 9), 1_000_000) for worker in workers)
-    play.do(ports.Saved(saved))
+    play.step(ports.Saved(saved))
     live = tuple(replace(worker.entry, started_us=start) for worker in workers)
-    play.do(ports.Listed(io.Members(io.ListKind.FULL, live)))
-    play.wait(1_100_000, 10_000)
+    play.step(ports.Listed(io.Members(io.ListKind.FULL, live)))
+    play.advance(1_100_000, 10_000)
     warm = [worker for worker in play.engine.router.workers.values() if worker.copies]
     assert len(warm) == sum(bool(worker.copies) for worker in believed.workers) > 0
 
@@ -154,14 +154,14 @@
 def test_a_start_with_believed_books_offers_no_worker_before_a_list_names_it():
     old = busy(2)
     warm = {w.worker: set(w.copies) for w in snapshot.take(old.engine.router).workers}
-    play = Play(LOADS, workers=None)
+    play = EngineHarness(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
     play.engine.restore_router_state(crash.believe(snapshot.take(old.engine.router), 1_000_000, True))
-    assert not only(play.call(function="f1"), ports.Start)
+    assert not of_type(play.call(function="f1"), ports.Start)
     entries = tuple(w.entry for w in old.engine.router.workers.values())[:4]
-    play.do(ports.Listed(io.Members(io.ListKind.FULL, entries)))
-    play.wait(1_100_000, 10_000)
+    play.step(ports.Listed(io.Members(io.ListKind.FULL, entries)))
+    play.advance(1_100_000, 10_000)
     assert set(play.engine.router.workers) == {e.worker for e in entries}
     kept = [w for w in entries if play.engine.router.workers[w.worker].copies]
     assert kept and all(
