--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The wheel gives what the plain heap gives."""
+"""The timer wheel returns the same timers as the heap."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
     st.one_of(
         st.tuples(st.just("add"), st.integers(0, 3 * SLOTS * TICK_US)),
         st.tuples(st.just("cancel"), st.integers(0, 30)),
-        st.tuples(st.just("pass"), st.integers(0, 2 * SLOTS * TICK_US)),
+        st.tuples(st.just("advance"), st.integers(0, 2 * SLOTS * TICK_US)),
     ),
     max_size=60,
 )
@@ -19,15 +19,15 @@
 def test_wheel_and_heap_agree_to_a_tick(steps):
     wheel, heap, now, count = TimerWheel(0), TimerHeap(), 0, 0
     numbers = []
-    for what, value in steps:
-        if what == "add":
+    for action, value in steps:
+        if action == "add":
             count += 1
-            due = -(-(now + value) // TICK_US) * TICK_US  # the wheel's grain
+            due = -(-(now + value) // TICK_US) * TICK_US  # rounded up to the wheel's tick
             numbers.append((wheel.add(now + value, count), heap.add(due, count)))
-        elif what == "cancel" and value < len(numbers):
+        elif action == "cancel" and value < len(numbers):
             wheel.cancel(numbers[value][0])
             heap.cancel(numbers[value][1])
-        elif what == "pass":
+        elif action == "advance":
             now += value
             assert wheel.due(now) == heap.due(now // TICK_US * TICK_US)
         assert len(wheel) == len(heap)
