--- a/tests/socketbench.py
+++ b/tests/socketbench.py
@@ -1,4 +1,4 @@
-"""A gateway in this process on free ports, with workers and clients that the test scripts."""
+"""A gateway in this process on free ports, with workers and clients that the test controls."""
 
 import asyncio
 import io as text
@@ -24,7 +24,7 @@
 
 
 def run(main):
-    """Run a test's coroutine with a bound on its time."""
+    """Run a test's coroutine with a time limit."""
 
     async def bounded():
         async with asyncio.timeout(40):
@@ -37,9 +37,9 @@
 async def gateway(
     folder, addresses=(), *, more="", listener="", extra="", router_factory=None, orders=False, workers=""
 ):
-    """A gateway that sends to these workers."""
-    named = "; ".join(f'worker "{address}" kind="k"' for address in addresses)
-    workers = workers or named or 'worker "127.0.0.1:9" kind="k"'
+    """A running gateway with these workers."""
+    listed = "; ".join(f'worker "{address}" kind="k"' for address in addresses)
+    workers = workers or listed or 'worker "127.0.0.1:9" kind="k"'
     site = read(
         SITE.format(
             orders="" if orders else "orders false;",
@@ -52,18 +52,18 @@
         "test.kdl",
     )
     log = text.StringIO()
-    one = Gateway(site, Logs("json", "debug", 1_000, log), router_factory)
-    one.lines = log
-    await one.start()
+    started = Gateway(site, Logs("json", "debug", 1_000, log), router_factory)
+    started.lines = log
+    await started.start()
     try:
-        yield one
+        yield started
     finally:
-        await one.stop()
+        await started.stop()
 
 
 @asynccontextmanager
 async def raw_worker(answer):
-    """A server that reads one request at a time and does `await answer(number, head, reader, writer)`."""
+    """An HTTP server that awaits `answer(number, head, reader, writer)` for one request at a time."""
     count = 0
     tasks = set()
 
@@ -103,19 +103,19 @@
 
 
 class Console:
-    """A client that publishes triggers and keeps their answers by correlation."""
+    """An MQTT client that publishes triggers and keeps their answers by correlation data."""
 
     def __init__(self, name="console", version=V5, **more):
         self.answers, self.order, self.acks = {}, [], []
         self.client = Client(
-            name, version, on_message=self._take, on_ack=lambda *a: self.acks.append(a), **more
+            name, version, on_message=self._on_message, on_ack=lambda *a: self.acks.append(a), **more
         )
         self.count = 0
 
-    def _take(self, message):
-        corr = message.properties.get("correlation_data", b"").decode()
-        told = dict(message.properties.get("user", [])) | {"body": message.payload}
-        self.answers.setdefault(corr, []).append(told)
+    def _on_message(self, message):
+        correlation = message.properties.get("correlation_data", b"").decode()
+        answer = dict(message.properties.get("user", [])) | {"body": message.payload}
+        self.answers.setdefault(correlation, []).append(answer)
 
     async def connect(self, port):
         await self.client.connect("127.0.0.1", port)
@@ -123,22 +123,22 @@
 
     def publish(self, request_class="lectura", key="", timeout=2_000, qos=1, topic="", payload=b"x", user=()):
         self.count += 1
-        corr = f"q{self.count}"
+        correlation = f"q{self.count}"
         pairs = [("timeout-ms", str(timeout)), *user, *([("key", key)] if key else [])]
-        properties = {"response_topic": "answers/c", "correlation_data": corr.encode(), "user": pairs}
+        properties = {"response_topic": "answers/c", "correlation_data": correlation.encode(), "user": pairs}
         self.client.publish(
             Publish(topic or f"calls/t/{request_class}/f", payload, qos, properties=properties)
         )
-        return corr
+        return correlation
 
-    async def answer(self, corr, within=5.0):
+    async def answer(self, correlation, within=5.0):
         """The answer to a trigger: (status, reason)."""
         for _ in range(int(within * 200)):
-            if corr in self.answers:
-                told = self.answers[corr][0]
-                return told["status"], told["reason"]
+            if correlation in self.answers:
+                answer = self.answers[correlation][0]
+                return answer["status"], answer["reason"]
             await asyncio.sleep(0.005)
-        raise AssertionError(f"no answer to {corr}")
+        raise AssertionError(f"no answer to {correlation}")
 
     async def call(self, *args, **more):
         return await self.answer(self.publish(*args, **more))
