--- a/tests/test_left_clients.py
+++ b/tests/test_left_clients.py
@@ -1,7 +1,7 @@
-"""A client that closed or cancelled has gone: no attempt of its request begins more than 0.1 s later.
+"""No attempt of a request is sent more than 0.1 s after its client closed its connection or cancelled.
 
-The loop of the router is held still while both the client's end and what lets an attempt go out lie in the
-kernel; on the next look it finds them in either order.
+The tests block the router's event loop while both the client's close and the event that allows an attempt to
+be sent wait in the kernel; the next poll finds them in either order.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 
 from swiftwell.fronts.fastcgi import codec
 
-STALL_S = 0.2  # s: twice what is granted
-WAYS = ("abort", "close", "reset")
+STALL_S = 0.2  # twice the 0.1 s that are allowed
+LEAVING = ("abort", "close", "reset")
 
 
-def played(main):
-    """On both loops: they differ in what comes first, timers, calls or sockets."""
+def run_on_both_loops(main):
+    """Run on asyncio's and uvloop's event loop: they differ in the order of timers, callbacks and sockets."""
 
     async def bounded():
         async with asyncio.timeout(40):
@@ -32,8 +32,8 @@
     uvloop.run(bounded())
 
 
-def end(sock, how):
-    """A client gives up, at once: no turn of a loop is between this and the kernel."""
+def leave(sock, how):
+    """Make a client leave at once, with no loop iteration between this and the kernel."""
     if how == "abort":
         sock.sendall(codec.record(codec.ABORT, 2, b""))
         return
@@ -43,60 +43,60 @@
 
 
 async def only_others_ran(node, workers, others):
-    """Whether nothing but a later request of another client reached a worker."""
+    """Whether only `others` and a later request of another client reached a worker."""
     await until(lambda: node.engine.open == 0 and not node.front.ids)
     async with Front(node.port) as other:
         assert (await other.ask(1, fields(id_(99), wait="6000")))[0] == 200
-    ran = [words[1].decode() for worker in workers for words in worker.runs()]
+    ran = [arguments[1].decode() for worker in workers for arguments in worker.runs()]
     return ran == [*others, id_(99)]
 
 
-def test_no_attempt_goes_out_for_a_client_that_left_while_our_turn_took_long(tmp_path):
+def test_no_attempt_is_sent_for_a_client_that_left_during_a_long_loop_iteration(tmp_path):
     async def main():
-        for how in WAYS:
+        for how in LEAVING:
             async with (
                 Worker(echo) as worker,
                 router(tmp_path, [worker.port]) as node,
                 Front(node.port) as front,
             ):
-                assert (await front.ask(1, fields(id_(1))))[0] == 200  # a connection to the worker stands
+                assert (await front.ask(1, fields(id_(1))))[0] == 200  # a connection to the worker is open
                 sock, start = connect(node.port), node.link.start
 
-                def slow_turn(act, start=start, sock=sock, how=how, node=node):
-                    start(act)
+                def slow_start(output, start=start, sock=sock, how=how, node=node):
+                    start(output)
                     node.link.start = start
-                    end(sock, how)  # it lies in the kernel, unread
+                    leave(sock, how)  # the router has not read it yet
                     time.sleep(STALL_S)
 
-                node.link.start = slow_turn
+                node.link.start = slow_start
                 sock.sendall(request(2, fields(id_(2))))
-                await until(lambda node=node, slow=slow_turn: node.link.start is not slow)
+                await until(lambda node=node, slow=slow_start: node.link.start is not slow)
                 assert await only_others_ran(node, [worker], [id_(1)])
                 sock.close()
 
-    played(main)
+    run_on_both_loops(main)
 
 
-def test_no_attempt_goes_out_for_a_client_that_left_as_its_connection_came_up_in_a_stall(tmp_path):
+def test_no_attempt_is_sent_for_a_client_that_left_when_the_connection_was_established_in_a_stall(tmp_path):
     async def main():
         async with waiting_at_a_gate(tmp_path) as (gate, node, front):
             own = socket.socket(fileno=os.dup(front.writer.get_extra_info("socket").fileno()))
-            own.shutdown(socket.SHUT_RDWR)  # the router has not looked at it
+            own.shutdown(socket.SHUT_RDWR)  # the router has not polled it yet
             own.close()
-            filler, _ = gate.socket.accept()  # room: the connection comes up with the next SYN, within 1 s
+            filler, _ = gate.socket.accept()  # frees the backlog: the next SYN, within 1 s, connects
             time.sleep(1.3)
             await gate.open()
             assert await only_others_ran(node, [gate], [])
             filler.close()
 
-    played(main)
+    run_on_both_loops(main)
 
 
-def test_no_attempt_goes_out_for_a_client_that_left_while_its_workers_buffer_was_full_in_a_stall(tmp_path):
+def test_no_attempt_is_sent_for_a_client_that_left_while_the_send_buffer_was_full_in_a_stall(tmp_path):
     async def main():
-        async def answers(worker, writer, words):
-            if words[0] == b"FN":
-                writer.write(said(words[1], b"DONE", b"-", b""))
+        async def answers(worker, writer, arguments):
+            if arguments[0] == b"FN":
+                writer.write(said(arguments[1], b"DONE", b"-", b""))
 
         async with (
             Worker(answers) as worker,
@@ -105,16 +105,16 @@
         ):
             sock = connect(node.port)
             assert (await front.ask(1, fields(id_(1), wait="6000")))[0] == 200
-            (one,) = node.link._workers["s-00000001"].connections
-            one._blocked = True  # as if the kernel had taken no more
+            (connection,) = node.link._workers["s-00000001"].connections
+            connection._blocked = True  # as if the kernel's send buffer were full
             sock.sendall(request(2, fields(id_(2), wait="6000")))
-            await until(lambda: node.link._jobs and one._out)
-            asyncio.get_running_loop().call_later(STALL_S / 2, one._unblock)
-            end(sock, "close")
-            time.sleep(STALL_S)  # the timer has come due and the client's end waits
+            await until(lambda: node.link._jobs and connection._out)
+            asyncio.get_running_loop().call_later(STALL_S / 2, connection._unblock)
+            leave(sock, "close")
+            time.sleep(STALL_S)  # the timer is due and the client's close is not read yet
             assert await only_others_ran(node, [worker], [id_(1)])
 
-    played(main)
+    run_on_both_loops(main)
 
 
 def test_a_client_that_stays_through_a_stall_is_served(tmp_path):
@@ -124,6 +124,6 @@
             await asyncio.sleep(0)
             time.sleep(STALL_S)
             assert (await front.answer(1))[0] == 200
-            assert [words[1].decode() for words in worker.runs()] == [id_(1)]
+            assert [arguments[1].decode() for arguments in worker.runs()] == [id_(1)]
 
-    played(main)
+    run_on_both_loops(main)
