--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 from helpers import PLAIN, Bench, entry, only
 from platformbench import HOST, Front, Worker, document, echo, fields, held_back, request, router, said, until
 from socketbench import run
-from test_failing_calls import believed
+from test_failing_calls import counts_as_healthy
 from test_platform import Process, id_
 from test_request_deadlines import connect
 from test_resp import OTHER, Play
@@ -91,7 +91,7 @@
                 raise OSError(code, "planted")
 
             one._stream.read_from_fd = broken
-            assert (await front.answer(1))[0] == 502 and believed(node)
+            assert (await front.answer(1))[0] == 502 and counts_as_healthy(node)
             assert len(worker.runs()) == 1
 
     run(main())
