--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -320,8 +320,8 @@
     for _, server in _servers(gateway):
         for fd in list(server._handlers):
             server._handlers.pop(fd)()
-    gateway.resting = _streams(gateway)
-    for stream in gateway.resting:
+    gateway.paused_streams = _streams(gateway)
+    for stream in gateway.paused_streams:
         _rest(stream)
     gateway.link.set_paused(True)
     _sweeping(gateway, False)
@@ -330,7 +330,7 @@
     while True:
         for _ in range(3):
             await asyncio.sleep(0)
-        idle = not gateway._inputs and not gateway._stepping and not gateway.engine.awaiting
+        idle = not gateway._inputs and not gateway._stepping and not gateway.engine.pending_intents
         if idle and not (gateway.journal and gateway.journal.busy):
             break
         if time.monotonic() > until:
@@ -342,9 +342,9 @@
 def thaw(gateway: Gateway) -> None:
     """Go on as if nothing had been."""
     gateway.frozen = False
-    for stream in gateway.resting:
+    for stream in gateway.paused_streams:
         _wake(stream)
-    gateway.resting = []
+    gateway.paused_streams = []
     for _, server in _servers(gateway):
         server.add_sockets(list(server._sockets.values()))
     gateway.link.set_paused(False)
@@ -373,7 +373,7 @@
     state.ledger = ledger.records()
     state.running = [(t, k, e.call) for (t, k), e in ledger._entries.items() if e.call]
     state.holes_until, state.shut_why = ledger.gap_until, ledger.closed_reason
-    state.numbers, state.writes, state.counts = engine._numbers, engine._writes, dict(engine.counts)
+    state.numbers, state.writes, state.counts = engine._last_number, engine._last_write, dict(engine.counts)
     # A gateway that hands over asks no worker: each of its orders is for copies.
     state.orders = [
         (number, order.worker, order.function, order.sent_us, order.due_us)
@@ -565,7 +565,7 @@
     for tenant, key, call in state.running:
         ledger.reclaim(tenant, key, call)
     ledger.gap_until, ledger.closed_reason = state.holes_until, state.shut_why
-    engine._numbers, engine._writes = state.numbers, state.writes
+    engine._last_number, engine._last_write = state.numbers, state.writes
     engine.counts.update(state.counts)
     for known in state.roster.known:
         raw = dict(known.pop("entry"))
@@ -678,7 +678,7 @@
         )
         amqp.also = [_ref_in(also, peers, gateway) for also in one.also]  # type: ignore[misc]
         return amqp
-    peer = peers.get((one.kind, one.name)) or gateway.nobody()
+    peer = peers.get((one.kind, one.name)) or gateway.discarding_peer()
     ref = Ref(
         one.version, (peer, one.generation), one.id, one.qos, one.reply, one.correlation, one.key, one.acked
     )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from enginebench import SETTINGS, Play, only
+from enginebench import SETTINGS, EngineHarness, of_type
 from helpers import entry
 from hypothesis import given
 from hypothesis import strategies as st
@@ -318,47 +318,47 @@
 
 
 def test_a_gateway_without_any_list_refuses_in_time_and_one_with_a_saved_list_serves():
-    play = Play(workers=None)
+    play = EngineHarness(workers=None)
     play.call(left=300_000)
-    play.wait(300_000)
-    assert play.kinds() == ["refused"]
-    out = play.do(ports.Saved(((entry("a"), DAY), (entry("b"), DAY))))
-    assert {o.worker for o in only(out, ports.Ask)} == {"a", "b"}
-    play.do(ports.Asked("a", True), ports.Asked("b", True, draining=True))
+    play.advance(300_000)
+    assert play.answer_kinds() == ["refused"]
+    out = play.step(ports.Saved(((entry("a"), DAY), (entry("b"), DAY))))
+    assert {o.worker for o in of_type(out, ports.Ask)} == {"a", "b"}
+    play.step(ports.Asked("a", True), ports.Asked("b", True, draining=True))
     for number in range(20):
         play.call(function=f"f{number}")
-        play.wait(100_000)
-    assert {s.worker for s in only(play.out, ports.Start)} == {"a"}
+        play.advance(100_000)
+    assert {s.worker for s in of_type(play.outputs, ports.Start)} == {"a"}
 
 
 def test_a_list_that_keeps_changing_does_not_lose_estimated_copies():
-    play = Play()
-    start = only(play.call(), ports.Start)[0]
-    play.end(start)
+    play = EngineHarness()
+    start = of_type(play.call(), ports.Start)[0]
+    play.end_attempt(start)
     for _ in range(50):
-        play.do(ports.Listed(full()))
-        play.wait(200_000, 20_000)
-        play.do(ports.Listed(full(entry("a"), entry("b"), entry("c"))))
-        play.wait(200_000, 20_000)
+        play.step(ports.Listed(full()))
+        play.advance(200_000, 20_000)
+        play.step(ports.Listed(full(entry("a"), entry("b"), entry("c"))))
+        play.advance(200_000, 20_000)
         if not play.engine.router.workers[start.worker].estimated_copies("f", play.now):
             break  # expired by its idle time, not by the list
     assert play.now - 100_000_000 >= SETTINGS.idle_life_us
 
 
 def test_ten_thousand_replaced_workers_leave_no_records():
-    play = Play(replace(SETTINGS, cold_us=0), workers=())
+    play = EngineHarness(replace(SETTINGS, cold_us=0), workers=())
     sizes = []
     for number in range(10_000):
-        play.do(
+        play.step(
             ports.Listed(
                 full(entry(f"w{number}", started=number + 1), entry(f"v{number % 3}", started=number + 1))
             )
         )
         play.now += 400_000
         if number % 10 == 0:
-            for start in only(play.call(function=f"f{number}"), ports.Start):
-                play.end(start)
-        play.out.clear()
+            for start in of_type(play.call(function=f"f{number}"), ports.Start):
+                play.end_attempt(start)
+        play.outputs.clear()
         if number % 1_000 == 999:
             sizes.append(tables(play.engine))
     assert (
@@ -558,9 +558,9 @@
 
 
 def test_a_rebuilt_router_is_given_every_worker():
-    play = Play()
-    play.engine._rebuild()
-    play.do()
+    play = EngineHarness()
+    play.engine._rebuild_router()
+    play.step()
     assert set(play.engine.router.workers) == {"a", "b", "c"}
     assert isinstance(play.engine.router.workers["a"].entry, io.WorkerEntry)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
     worker_reply,
 )
 from socketbench import run
-from test_failing_calls import believed
+from test_failing_calls import counts_as_healthy
 from test_platform import RouterProcess, id_
 from test_request_deadlines import connect
 from test_resp import OTHER, LinkHarness
@@ -104,7 +104,7 @@
                 raise OSError(code, "planted")
 
             connection._stream.read_from_fd = broken
-            assert (await front.answer(1))[0] == 502 and believed(node)
+            assert (await front.answer(1))[0] == 502 and counts_as_healthy(node)
             assert len(worker.runs()) == 1
 
     run(main())
