--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -2,7 +2,9 @@
 
 Punica's rule (section 5.1): a request goes to the worker that holds most of our own in-flight requests and
 has room, warm workers first; when none has room it is queued, first come, first served.  Everything else here
-narrows down which workers have room, or implements a rule of the operators.  Times are in microseconds.
+narrows down which workers have room, or implements a rule of the operators: 1, one final answer in time;
+2, no effect twice; 3, nothing new to a draining worker; 4, no overload of a cold worker; 5, a rate limit on
+load orders.  Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -24,40 +26,40 @@
 
 # Expected latency, as a share of a class's target latency.
 INITIAL_LATENCY_SHARE = 0.25  # before any outcome
-MAX_EXPECTED_SHARE = 0.75  # assumed at most for a first try, so that a slow fleet still serves
-REPEAT_SPENT_SHARE = 0.5  # assumed to be spent on earlier tries and waits when a client repeats a request
+MAX_EXPECTED_SHARE = 0.75  # upper bound for a first try, so that a slow fleet still serves
+REPEAT_SPENT_SHARE = 0.5  # taken as spent on earlier tries and waits when a client repeats a request
 
 DEFAULT_LOAD_US = 800_000  # us: load time where the request gives none; most small copies load in less
 MEAN_WEIGHT = 0.1  # weight of one outcome in the running means of latency and reported calls
 # Weight of one outcome in a worker's relative latency: high, as a router with few calls sees few of them.
 RELATIVE_LATENCY_WEIGHT = 0.5
 RELATIVE_LATENCY_DECAY_US = 10_000_000  # us: time constant of its return to the mean of the worker's kind
-LATE_MULTIPLE = 4.0  # times the expected latency: an attempt is late; a worker silent so long has no room
+LATE_MULTIPLE = 4.0  # times the expected latency: then an attempt is late, and a silent worker has no room
 
 BACKOFF_US = 250_000  # us: back-off of a worker after a failure; doubles with each further one
 MAX_BACKOFF_DOUBLINGS = 4  # so that a recovered worker is tried again within 4 s
 FULL_PAUSE_US = 100_000  # us: a worker that reported full gets no calls, unless an outcome comes sooner
 REJECTION_PAUSE_US = 1_000_000  # us: a worker that rejected a class or tenant gets none of its calls
-RECHECK_US = 100_000  # us until all queues are rechecked; a call queued longer gets one more candidate
-RETRY_SHARE, RETRY_BURST = 0.1, 10.0  # further attempts earned per call, and saved up at most
+RECHECK_US = 100_000  # us between checks of all queues; a call queued longer gets one more candidate
+RETRY_SHARE, RETRY_BURST = 0.1, 10.0  # retry tokens earned per call, and kept at most
 
 LANE_HEADROOM = 2.0  # lanes wanted for each call in flight, as arrivals are uneven
 RATE_SPAN_US = 10_000_000  # us over which arrivals are averaged: long enough for routers with few calls
-PRIOR_CALLS = 10.0  # calls: with fewer seen, a function is assumed to need about one whole worker
-STANDARD_ERRORS = 3.0  # standard errors added to a function's count of calls, as few calls say little
+PRIOR_CALLS = 10.0  # calls: until a router has seen more, it assumes that a function fills about one worker
+STANDARD_ERRORS = 3.0  # standard errors added to a function's count of calls, as small counts are uncertain
 PREFERRED_MULTIPLE = 3.0  # preferred workers for each worker that a function's share of our calls would fill
 FALLBACK_WORKERS = 8  # workers beyond the preferred ones that a call may go to, at most
 FUNCTION_KEEP_LIFETIMES = 2  # idle lifetimes after its last call for which a function is remembered
 
-QUERY_WAIT_US = 100_000  # us for which calls wait for a query's answer before they go elsewhere: a handshake
+QUERY_WAIT_US = 100_000  # us that calls wait for a query's answer before they go elsewhere: one handshake
 MAX_PENDING_LOADS = 6  # copies ordered by this router and not yet loaded
 NOTE_LOAD_FAILED = 4  # note in an error or a miss: the load that the call began or waited for has failed
 LOAD_TIMEOUT_MULTIPLE = 3.0  # times the expected load time: the copy is no longer waited for
-ORDER_SHARE, ORDER_BURST = 0.1, 10.0  # load orders earned per call, and saved up at most: as for retries
-RAMP_BUDGET_SHARE = 0.75  # of the configured multiple that ramp tokens use; the rest allows for chance
+ORDER_SHARE, ORDER_BURST = 0.1, 10.0  # tokens for load orders earned per call, and kept at most: as retries
+RAMP_BUDGET_SHARE = 0.75  # of the configured overload multiple that ramp tokens use; the rest is a margin
 
-CLOCK_GAP_US = 50_000  # us: a timer later than this shows that this process itself was stopped
-SWEEP_US = 1_000_000  # us between sweeps of the state, and at least between calls to a failing discovery
+CLOCK_GAP_US = 50_000  # us: a timer that is later shows that this process itself was stopped
+SWEEP_US = 1_000_000  # us between sweeps of the state, and at most between calls to a failing discovery
 
 
 class Router(rs.RouterState):
@@ -79,7 +81,7 @@
         self.expected_latency = {c.name: INITIAL_LATENCY_SHARE * c.target_us for c in settings.classes}
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
-        """Decide on a batch of events that have come by `now`."""
+        """Decide on a batch of events that have arrived by `now`."""
         self.now, self.actions = now, []
         self.list_is_current = self.leases is None or self.leases.list_serves(now)
         if not self.seq:
@@ -87,8 +89,8 @@
             self._schedule(SWEEP_US, self._sweep)
             if self.settings.asked_discovery:
                 self._watch()
-        # A late timer shows that this process was stopped.  Latencies and silences over that gap say nothing
-        # of the workers, which would all look silent and slow at once.  Timers are handled last, as answers
+        # A late timer shows that this process was stopped.  Latencies and silences over that gap are no sign
+        # of the workers' state: all would look silent and slow at once.  Timers are handled last, as answers
         # may be in the same batch.
         if self.now - min(map(self.due_at, events), default=now) > CLOCK_GAP_US:
             self.resumed_at = now
@@ -98,11 +100,12 @@
         return self.actions
 
     def _watch(self) -> None:
+        """Ask discovery for updates of the worker list."""
         self.actions.append(io.Watch(True))
 
     def _on_members(self, event: io.Members) -> None:
         if event.how is ListKind.FAILED:  # keep the old list, and ask again after a delay
-            # A router that asks less often than configured counts as informed of changes that it missed.
+            # A router that asks less often than configured is held responsible for changes that it missed.
             self._schedule(min(SWEEP_US, self.settings.ask_within_us or SWEEP_US), self._watch)
             return
         self.ring.update([self._update_worker(entry) for entry in rs.changed_entries(event, self.workers)])
@@ -128,13 +131,13 @@
         return worker
 
     def _on_restarted(self, event: io.Restarted) -> None:
-        """Rules 2 and 4 while the list is stale: this may be a new, cold process or another worker."""
+        """While the list is stale: the process may be a cold one (rule 4) or another worker's (rule 2)."""
         if worker := self.workers.get(event.worker):
             self._forget_copies(worker)
             worker.warm_at, worker.identified = self.now + self.settings.cold_us, False
 
     def _on_list_state(self, event: io.ListState) -> None:
-        """Recheck calls that wait for proof of a worker; a list that is current identifies every process."""
+        """Recheck calls that wait for a worker's answer; a list that is current identifies every process."""
         self.recheck_at = self.now
         if not event.stale:
             for worker in self.workers.values():
@@ -154,8 +157,8 @@
         self.retry_tokens.refill(RETRY_SHARE)
         self.order_tokens.refill(ORDER_SHARE)
         self.recent_arrivals.add(self.now)
-        keys = f"class {request_class.name}", f"tenant {request.tenant}"  # what a worker may reject calls by
-        call = rs.Call(request, request_class, function, self.seq, self.now, keys)
+        rejection_keys = f"class {request_class.name}", f"tenant {request.tenant}"
+        call = rs.Call(request, request_class, function, self.seq, self.now, rejection_keys)
         self.calls[request.id] = call
         # Two ticks early: timers fire on the next tick, and the answer must precede the deadline.
         self._schedule(request.left_us - 2 * self.settings.tick_us, self._give_final_answer, call)
@@ -163,7 +166,7 @@
         self._enqueue(call)
 
     def _enqueue(self, call: rs.Call) -> None:
-        """Queue a call for its function; one bound to a group has a separate queue, to block no other."""
+        """Queue a call for its function; one bound to a repeat group has its own queue, to block no other."""
         bound = call.binding_attempt()
         call.queued = True
         self.dirty_functions.add(call.function.name)
@@ -179,19 +182,19 @@
 
         A repeat's target counts from its first try, so that a fleet slow as a whole serves first tries first.
         """
-        target, least = call.request_class.target_us, self._expected_latency(call)
+        target, capped = call.request_class.target_us, self._expected_latency(call)
         expected, waited = self.expected_latency[call.request_class.name], self.now - call.arrived_at
         if call.request.repeated:
             expected += REPEAT_SPENT_SHARE * target
         else:
-            expected = least if call.attempts else min(expected, MAX_EXPECTED_SHARE * target)
-        return waited + expected <= target and waited + least <= call.request.left_us
+            expected = capped if call.attempts else min(expected, MAX_EXPECTED_SHARE * target)
+        return waited + expected <= target and waited + capped <= call.request.left_us
 
     def _next_in_time(self, key: rs.QueueKey) -> rs.Call | None:
         """The first call of a queue that can still be in time; those before it get their final answer now.
 
-        A call that would be late takes the room of one in time, under overload and the retries that feed it.
-        This costs worth where late answers are worth much, and for calls that wait for a slow load.
+        Under overload, and the retries that feed it, a late call would take the room of one that can be in
+        time.  A drawback where late answers are worth much, and for calls that wait for a slow load.
         """
         queue = self.queues[key]
         while queue:
@@ -207,9 +210,9 @@
         return None
 
     def _check_half_deadline(self, call: rs.Call) -> None:
-        """Answer a call that was not sent in half of its time: operators prefer an early answer.
+        """Answer a call that was not sent within half of its time: operators prefer an early answer.
 
-        Only where no copy of its function is loaded: the other half would most likely go to a load as well.
+        Only where no copy of its function is loaded: a load would most likely take the other half as well.
         """
         if call.queued and not call.attempts and not (
             call.function.workers_with_copies(self.now) and self._any_known_to_serve()
@@ -236,7 +239,7 @@
             self._schedule(RECHECK_US, lambda: None)  # causes a batch, in which queues are rechecked
 
     def _place(self, call: rs.Call) -> bool:
-        """Send a call to the worker chosen for it, or order a copy there and leave the call queued."""
+        """Send a call to the worker chosen for it, or order a copy there and leave the call in its queue."""
         function, candidates = call.function, self._candidates(call)
         worker, warm = self._choose(call, candidates)
         if worker and not warm and self._known_to_serve(worker):
@@ -254,15 +257,15 @@
         return True
 
     def _choose(self, call: rs.Call, workers: list[rs.Worker]) -> tuple[rs.Worker | None, bool]:
-        """The best worker with room, and whether it is warm: by warmth, calls in flight, then tie hash."""
+        """The best worker with room, by copies, our calls in flight, then tie hash; whether it has a copy."""
         function = call.function
-        tried = [a.worker for a in call.attempts if a.in_flight]
+        used = [attempt.worker for attempt in call.attempts if attempt.in_flight]
         best, best_rank = None, (False, -1, -1)
         for worker in workers:
             copies = worker.estimated_copies(function.name, self.now)
             rank = (copies > 0, worker.inflight, worker.tie_hash)
             at_limit = worker.inflight >= int(worker.concurrency_limit)
-            if rank < best_rank or worker in tried or at_limit or not self._may_have_room(call, worker):
+            if rank < best_rank or worker in used or at_limit or not self._may_have_room(call, worker):
                 continue
             free = worker.inflight_by_function.get(function.name, 0) < function.lanes * copies
             if (free if copies else self._may_load_copy(worker, function)) and self._may_send(call, worker):
@@ -286,20 +289,20 @@
         return candidates
 
     def _candidate_count(self, function: rs.Function, latency: float) -> int:
-        """How many candidates our calls of a function need; also ranks the function's workers anew if due."""
+        """How many candidates our calls of a function need; also updates the function's ranked workers."""
         lanes = LANE_HEADROOM * function.arrival_rate.per_us(self.now) * latency / function.lanes
-        # The call that is being placed is no sign of others, hence `total - 1`.  Few calls say little, so the
-        # estimate is high in doubt: hundreds of routers that each took a few calls for none would all meet at
-        # the first preferred worker.  This also covers a start, a restart and a function that becomes hot.
-        # It costs more preferred workers, hence more loads, at routers with few calls.
+        # The call being placed is no evidence of others, hence `total - 1`.  Small counts are uncertain, so
+        # the estimate is high: hundreds of routers that each took a few calls for none would all send to the
+        # first preferred worker.  This also covers a start, a restart and a function that becomes hot.  The
+        # drawback: routers with few calls have more preferred workers for a function, hence more loads.
         others = max(0.0, function.arrival_rate.total - 1)
         calls = others + STANDARD_ERRORS * math.sqrt(others) + PRIOR_CALLS / max(1, len(self.ready))
         share = calls / (self.arrival_rate.per_us(self.now) * RATE_SPAN_US + PRIOR_CALLS)
         count = min(PREFERRED_MULTIPLE * share * len(self.ready), lanes * self.settings.routers)
-        count = 1 << math.ceil(math.log2(max(1.0, count, lanes)))  # powers of two, so that it seldom changes
+        count = 1 << math.ceil(math.log2(max(1.0, count, lanes)))  # a power of two, so that it seldom changes
         # A long ranking is renewed once per sweep at most: workers that left have no room, new ones can wait.
-        due = min(count, len(self.ready)) <= MIN_RANKED or self.now >= function.ranked_at + SWEEP_US
-        if function.preferred_count != count or (function.list_version != self.list_version and due):
+        may_renew = min(count, len(self.ready)) <= MIN_RANKED or self.now >= function.ranked_at + SWEEP_US
+        if function.preferred_count != count or (function.list_version != self.list_version and may_renew):
             function.list_version, function.preferred_count, function.ranked_at = (
                 self.list_version, count, self.now,
             )  # fmt: skip
@@ -330,20 +333,20 @@
             return False
         if self._unproven(worker):
             return False
-        # A 'full' may be meant for a class or tenant: it marks both, and an answer to either clears its mark.
+        # A 'full' may apply to a class or a tenant: it marks both; a success clears its own class and tenant.
         if worker.rejections and any(self.now < worker.rejections.get(key, 0) for key in call.rejection_keys):
             return False
         return self._admits(call, worker)
 
     def _known_to_serve(self, worker: rs.Worker) -> bool:
-        """Whether it is known not to drain: by the list, or by its answers where the list may be stale."""
+        """Whether a worker is known not to drain: by the list, or by its answers while that may be stale."""
         return self.list_is_current or self.leases.serves(worker.entry.worker, self.now)
 
     def _any_known_to_serve(self) -> bool:
         return self.list_is_current or any(map(self._known_to_serve, self.ready))
 
     def _unproven(self, worker: rs.Worker) -> bool:
-        """Not known to serve, and either can't be queried or has not answered a query: it may hang."""
+        """Whether a worker not known to serve can't be queried, or leaves a query unanswered: it may hang."""
         if self._known_to_serve(worker):
             return False
         return not self.settings.may_load or (
@@ -351,7 +354,7 @@
         )
 
     def _suspect(self, worker: rs.Worker) -> bool:
-        """Hung, paused or cut off: calls but no outcomes.  Wrong where its only call is a long one."""
+        """Whether it may be hung, paused or cut off: calls, no outcomes.  Wrong if its only call is long."""
         return worker.inflight > 0 and (
             self.now - max(worker.silent_since, self.resumed_at) > LATE_MULTIPLE * self.mean_latency_us
         )
@@ -364,45 +367,46 @@
         )
 
     def _admits(self, call: rs.Call, worker: rs.Worker) -> bool:
-        """A slow or cold worker admits only a share of our calls: what it can do, relative to the others.
+        """Whether a worker takes this call: a slow or cold one gets only a share of our calls.
 
-        This covers slow, crowded and degrading workers and weak kinds alike.  All routers reduce their calls
-        by the same share, which adds up for any number of them.  It is relative to the median, so that a
-        fleet slow as a whole serves.  A call's draw is not repeated.  One outlier lowers it until it decays.
+        The share is what it can do relative to the others, for slow, crowded and degrading workers and weak
+        kinds alike.  All routers cut the same share, which adds up for any number of them.  It is relative to
+        the median, so that a fleet slow as a whole serves.  A call gets the same draw at each check.  One
+        slow answer lowers the share until the relative latency decays.
         """
         share = min(1.0, self.median_relative_latency / self._relative_latency(worker)) ** 2
         if self.now < worker.warm_at:
-            # A call that another worker rejected is not sent here: such calls would add up.
+            # Retries are not sent here: the calls that other workers turned away would add up.
             return not call.attempts and self._has_ramp_token(call, worker, share)
         draw = (worker.tie_hash ^ call.seq * HASH_MULTIPLIER) * HASH_MULTIPLIER % 2**64
         return draw < share * 2**64 or len(self.ready) == 1  # the only worker takes every call
 
     def _has_ramp_token(self, call: rs.Call, worker: rs.Worker, share: float) -> bool:
-        """Whether a ramp token allows a call to a cold worker: our share of what the fleet may offer it.
+        """Whether a ramp token is left for a cold worker: our share of what the whole fleet may send it.
 
         Tokens are issued at the rate at which a warm worker serves us, times the share that the cold worker
-        can do, and expire after the span of rule 4, so that routers that were quiet can't all come at once.
-        What warm workers serve is within their capacity, whatever they are offered, so the sum over any
-        number of routers keeps to the configured multiple.  The rate is at least our share of one core's
-        budget, as no worker has less.
+        can do, and expire after the span of rule 4, so that routers that were quiet can't all send at once.
+        What warm workers serve is within their capacity, whatever they are sent, so the sum over any number
+        of routers keeps to the configured multiple.  The rate is at least our share of one core's budget, as
+        no worker has less.
         """
-        left = min(1.0, (worker.warm_at - self.now) / max(1, self.settings.cold_us))
-        capacity = 1 - (1 - self.settings.cold_share) * left  # share of the full one, at the slowest warm-up
-        core = self.settings.fall_multiple * capacity / self.mean_latency_us / self.settings.routers
-        # Few routers also send this share at most, as they see little of each worker's random variation.
+        cold = min(1.0, (worker.warm_at - self.now) / max(1, self.settings.cold_us))  # share of warm-up left
+        capacity = 1 - (1 - self.settings.cold_share) * cold  # share of the full one, at the slowest warm-up
+        per_core = self.settings.fall_multiple * capacity / self.mean_latency_us / self.settings.routers
+        # With few routers this is also the maximum: each sees little of a worker's random variation.
         if worker.recent_sends.count(self.now - self.settings.fall_us) >= max(
-            1, int(core * self.settings.fall_us)
+            1, int(per_core * self.settings.fall_us)
         ):
             return False
-        # The share of the mean's span that has passed since the start.
-        seen = 1 - math.exp((self.started_at - SWEEP_US - self.now) / RATE_SPAN_US)
-        # What a warm worker serves us; 0 until calls were served.
-        even = self.served_rate.per_us(self.now) / seen / max(1, self.warm_count or len(self.ready))
-        per_us = RAMP_BUDGET_SHARE * max(core, even * share * capacity * self.settings.fall_multiple)
+        # The part of the averaging span that a router that has just started has covered.
+        covered = 1 - math.exp((self.started_at - SWEEP_US - self.now) / RATE_SPAN_US)
+        # What a warm worker serves us; `warm_count` is 0 until the first sweep.
+        warm_rate = self.served_rate.per_us(self.now) / covered / max(1, self.warm_count or len(self.ready))
+        per_us = RAMP_BUDGET_SHARE * max(per_core, warm_rate * share * capacity * self.settings.fall_multiple)
         return worker.ramp_tokens.available(self.now, per_us, self.settings.fall_us)
 
     def _may_send(self, call: rs.Call, worker: rs.Worker) -> bool:
-        """Rule 2: whether the call may go here, given what its earlier attempts may have done."""
+        """Rule 2: whether a call may go to a worker, given what its earlier attempts may have done."""
         bound = call.binding_attempt()
         if bound is None or call.request_class.effect is Effect.SAFE:
             return True
@@ -450,9 +454,9 @@
         held = dict(event.report).get("rif")
         if held is not None:
             self.expected_held += MEAN_WEIGHT * (held - self.expected_held)
-            self._record_load(worker, (held + 1) / (self.expected_held + 1))
+            self._update_relative_latency(worker, (held + 1) / (self.expected_held + 1))
         elif event.status is Status.FULL:
-            self._record_load(worker, LATE_MULTIPLE)
+            self._update_relative_latency(worker, LATE_MULTIPLE)
         if event.status in (Status.OK, Status.FULL, Status.MISS):
             worker.silent_since, worker.last_answered_sent_at = (
                 now, max(worker.last_answered_sent_at, attempt.sent_at),
@@ -471,7 +475,7 @@
                 note = event.note & 7  # 0 where answers carry no note, 1 where a copy was loaded already
                 if note == 1 or not (attempt.cold or note):
                     self._record_latency(attempt, event.latency_us)
-                elif attempt.worker_before_late:  # a new version of a warm copy had to load: not slowness
+                elif attempt.worker_before_late:  # a new version of a warm copy had to load: no slow worker
                     latency, limit = attempt.worker_before_late
                     worker.relative_latency, worker.concurrency_limit = (
                         min(worker.relative_latency, latency), max(worker.concurrency_limit, limit),
@@ -499,18 +503,18 @@
         self.expected_latency[request_class.name] += MEAN_WEIGHT * (
             min(latency, 2 * LATE_MULTIPLE * expected) - expected
         )
-        self._record_load(worker, min(latency / expected, 2 * LATE_MULTIPLE))
+        self._update_relative_latency(worker, min(latency / expected, 2 * LATE_MULTIPLE))
         self.mean_latency_us += MEAN_WEIGHT * (
             min(latency, LATE_MULTIPLE * self.mean_latency_us) - self.mean_latency_us
         )
         step = CONCURRENCY_STEP * max(
             -2.0, 1 - latency / (CONCURRENCY_LATENCY_SHARE * request_class.target_us)
         )
-        if step < 0 or worker.inflight + 2 > worker.concurrency_limit:  # grows only while it is used up
+        if step < 0 or worker.inflight + 2 > worker.concurrency_limit:  # grows only while in full use
             worker.concurrency_limit = min(MAX_CONCURRENCY, max(1.0, worker.concurrency_limit + step))
 
-    def _record_load(self, worker: rs.Worker, ratio: float) -> None:
-        """Record how busy a worker is, over what is expected: by a latency, or by the calls that it holds."""
+    def _update_relative_latency(self, worker: rs.Worker, ratio: float) -> None:
+        """Update from a ratio of measured to expected: of a latency, or of the calls that a worker holds."""
         mean, relative_latency = (
             self.kind_relative_latency.setdefault(worker.entry.kind, 1.0), self._relative_latency(worker),
         )  # fmt: skip
@@ -527,24 +531,24 @@
         """After a failed attempt: queue the call again within the retry budget, or give the final answer.
 
         The budget also applies after 'full': where all workers are full, each further attempt costs work and
-        may begin a load.  A 'miss' is free where copies are to be ordered before the call is sent again.  The
-        budget costs calls that could be served where a few of many workers reject much.
+        may begin a load.  A 'miss' takes no token where copies are ordered before the call is sent again.  A
+        drawback where a few of many workers reject much: calls that could be served are refused.
         """
-        barred = call.binding_attempt() is not None and call.request_class.effect is Effect.UNSAFE
-        spent = len(call.attempts) >= self.settings.max_attempts
+        unsafe = call.binding_attempt() is not None and call.request_class.effect is Effect.UNSAFE
+        exhausted = len(call.attempts) >= self.settings.max_attempts
         free = self.settings.misses and status is Status.MISS
-        if barred or spent or not (free or self.retry_tokens.take(1)):
+        if unsafe or exhausted or not (free or self.retry_tokens.take(1)):
             self._give_final_answer(call)
         else:
             self._enqueue(call)
 
     def _check_late_attempt(self, attempt: rs.Attempt) -> None:
-        """Record a late attempt as slow; if its worker is suspect or it seems lost, retry or cancel it."""
+        """Count a late attempt as a slow one; if its worker is suspect or it seems lost, retry or cancel."""
         call, settings = attempt.call, self.settings
         if not attempt.in_flight or call.ended or call.streaming:
             return
-        # If a later attempt has been answered, this one is long or lost and says nothing of its worker: a few
-        # answers that never come would otherwise close every worker, and raise the time that counts as late.
+        # If a later attempt has been answered, this one is long or lost and no sign of a slow worker.  Else
+        # a few lost answers would leave no worker with room, and raise the latency that counts as late.
         overtaken = attempt.worker.last_answered_sent_at > attempt.sent_at
         if not attempt.cold and not overtaken:
             attempt.worker_before_late = attempt.worker_before_late or (
@@ -564,10 +568,10 @@
             self.actions.append(io.Cancel(call.request.id, attempt.number))
 
     def _give_final_answer(self, call: rs.Call) -> None:
-        """Rule 1: the one final answer; a refusal only where it is certain that nothing ran.
+        """Rule 1: the one final answer; a refusal only where nothing ran, or a repeat does no harm.
 
-        A refusal may carry a delay before a retry: one tick, or what the expected latency exceeds half of the
-        target by, if that is more.
+        A refusal may carry a delay before a retry: one tick, or the excess of the expected latency over half
+        of the target, whichever is longer.
         """
         if call.ended or call.streaming:
             return
@@ -582,9 +586,9 @@
     def _order_copy(self, worker: rs.Worker, function: rs.Function) -> bool:
         """Order a copy within the rate limit (rule 5): every order counts, in a sliding window.
 
-        Where workers load by themselves, orders are also limited to a share of our calls.  Otherwise hundreds
-        of routers with a few calls a second each ordered nearly one copy for each call, and most orders found
-        a copy that another router had ordered.
+        Where workers load by themselves, orders are also limited to a share of our calls.  Without that limit
+        hundreds of routers with a few calls a second each ordered nearly one copy for each call, and most
+        orders found a copy that another router had ordered.
         """
         settings, name, since = self.settings, function.name, self.now - self.settings.load_window_us
         allowed = settings.load_free + settings.load_share * self.recent_arrivals.count(since + 1)
@@ -605,7 +609,7 @@
         return True
 
     def _query_copies(self, worker: rs.Worker, function: rs.Function) -> None:
-        """Ask how many copies are loaded: an answer proves that the worker serves.  One query at a time."""
+        """Query how many copies are loaded, one query at a time; an answer proves that the worker serves."""
         if worker.queried_at:
             return
         worker.queried_at = self.now
@@ -616,7 +620,7 @@
         self.recheck_at = self.now
 
     def _on_query_answered(self, worker: rs.Worker, event: io.Loaded) -> None:
-        """Handle the end of a query; a worker that drains or does not answer is backed off from."""
+        """Handle the end of a query; back off from a worker that drains or does not answer."""
         worker.queried_at, self.recheck_at = 0, self.now
         if event.status is Status.OK:
             worker.failures = 0
@@ -664,7 +668,7 @@
         self.recent_arrivals.count(self.now - self.settings.load_window_us)  # keeps the window short
         for worker in list(self.workers.values()):
             worker.prune(self.now, self.now - self.settings.fall_us)
-            if worker.entry.state is State.GONE and not worker.inflight:  # otherwise all that left would stay
+            if worker.entry.state is State.GONE and not worker.inflight:  # else the table would only grow
                 del self.workers[worker.entry.worker]
         for function in list(self.functions.values()):
             if not function.pending_loads and (
