--- a/swiftwell/router_state.py
+++ b/swiftwell/router_state.py
@@ -1,6 +1,6 @@
 """The state of a router: the tables and timers that swiftwell.choice decides from.  Nothing is decided here.
 
-Times and durations are whole microseconds, memory is in MB.
+Times and durations are in microseconds, memory is in MB.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
     entries = list(event.entries)
     if event.how is not io.ListKind.DELTA:
         named = {entry.worker for entry in entries}
-        left = [worker.entry for name, worker in known.items() if name not in named]
-        entries += [replace(entry, state=io.State.GONE) for entry in left]
+        omitted = [worker.entry for name, worker in known.items() if name not in named]
+        entries += [replace(entry, state=io.State.GONE) for entry in omitted]
     return entries
 
 
@@ -47,8 +47,8 @@
     """An exponentially decaying event rate, averaged over `span_us`."""
 
     span_us: int
-    total: float = 0.0
-    at: int = 0
+    total: float = 0.0  # decayed count of events as of `at`
+    at: int = 0  # time of the last event
 
     def add(self, now: int) -> None:
         self.total = self.per_us(now) * self.span_us + 1
@@ -69,7 +69,7 @@
         self.tokens = min(self.capacity, self.tokens + tokens)
 
     def take(self, tokens: float) -> bool:
-        """Take tokens if there are enough; whether there were."""
+        """Take tokens if there are enough, and return whether there were."""
         if self.tokens < tokens:
             return False
         self.tokens -= tokens
@@ -98,10 +98,10 @@
 
     issued: float  # starts between 0 and 1, different for each router, so that routers don't begin together
     used: int = 0  # used or expired
-    at: int = 0
+    at: int = 0  # when tokens were last issued
 
     def available(self, now: int, per_us: float, span_us: int) -> bool:
-        """Issue the tokens due at this rate, expire the old ones; whether an unused one is left."""
+        """Issue tokens at this rate, expire the old ones, and return whether an unused one is left."""
         self.issued += per_us * (now - self.at if self.at else 0)
         self.at = now
         self.used = max(self.used, math.floor(self.issued - per_us * span_us))
@@ -123,11 +123,11 @@
     """One send of a call."""
 
     call: Call
-    number: int
+    number: int  # among the attempts of the call, from 0
     worker: Worker
     sent_at: int
-    cold: bool
-    in_flight: bool = True
+    cold: bool  # sent without a copy known there: the worker has to load one
+    in_flight: bool = True  # no outcome yet
     may_have_run: bool = True  # until its outcome proves that it didn't
     repeat_group: str = "all"  # workers that drop repeats of it, by the worker list when it was sent
     # The worker's relative latency and concurrency limit before this attempt was recorded as late.
@@ -141,13 +141,13 @@
     request: io.Request
     request_class: io.RequestClass
     function: Function
-    seq: int
+    seq: int  # order of arrival
     arrived_at: int
-    rejection_keys: tuple[str, ...]
+    rejection_keys: tuple[str, ...]  # its class and tenant: what a worker may reject calls by
     attempts: list[Attempt] = field(default_factory=list)
     queued: bool = False
-    ended: bool = False
-    streaming: bool = False
+    ended: bool = False  # has its final answer
+    streaming: bool = False  # its answer has begun
 
     @property
     def deadline(self) -> int:
@@ -167,7 +167,7 @@
 
     name: str
     key: int  # hash of its name, the same at every router
-    load_us: float
+    load_us: float  # expected load time
     arrival_rate: DecayingRate
     memory_mb: float = 0.0
     lanes: int = 1  # calls that one copy runs at a time
@@ -179,7 +179,7 @@
     ranked_workers: list[Worker] = field(default_factory=list)  # preferred in our own order, then fallbacks
 
     def workers_with_copies(self, now: int) -> list[Worker]:
-        """The workers estimated to hold a copy; forgets the others."""
+        """The workers estimated to hold a copy; drops the others from `holders`."""
         self.holders = {name: w for name, w in self.holders.items() if w.estimated_copies(self.name, now)}
         return list(self.holders.values())
 
@@ -192,22 +192,22 @@
     key: int  # hash of its id, the same at every router
     tie_hash: int  # breaks ties in the ranking; each router has its own
     memory_mb: float
-    concurrency_limit: float
-    inflight: int = 0
+    concurrency_limit: float  # calls of ours in flight, at most
+    inflight: int = 0  # calls of ours in flight
     inflight_by_function: dict[str, int] = field(default_factory=dict)
     copies: dict[str, CopyEstimate] = field(default_factory=dict)
     pending_loads: dict[str, CopyEstimate] = field(default_factory=dict)  # ordered, not yet loaded
     load_backoff: dict[str, int] = field(default_factory=dict)  # function: no load order before this time
-    rejections: dict[str, int] = field(default_factory=dict)  # class or tenant rejected: no calls before
+    rejections: dict[str, int] = field(default_factory=dict)  # class or tenant: no calls before this time
     recent_sends: SlidingWindow = field(default_factory=SlidingWindow)
     ramp_tokens: RampTokens = field(init=False)  # for calls while it is cold
-    silent_since: int = 0  # last outcome, or start of the oldest call since it was idle
-    full_until: int = 0
-    backoff_until: int = 0
+    silent_since: int = 0  # last answer, or the send that ended an idle time
+    full_until: int = 0  # no calls before this time, after it reported full
+    backoff_until: int = 0  # no calls before this time, after a failure
     failures: int = 0  # consecutive
     relative_latency: float = 1.0  # latency over the expected one
     relative_latency_at: int = 0
-    warm_at: int = 0  # warmed up by this time at the latest
+    warm_at: int = 0  # its process has warmed up by this time at the latest
     last_answered_sent_at: int = 0  # send time of the latest-sent attempt that it has answered
     queried_at: int = 0  # send time of the unanswered copy query; 0 where there is none
     identified: bool = True  # whether its process is the one that the worker list names
@@ -241,7 +241,7 @@
         """Memory of the copies that are estimated to be here or have been ordered."""
         pending_mb = sum(estimate.memory_mb for estimate in self.pending_loads.values())
         return pending_mb + sum(
-            b.memory_mb * self.estimated_copies(name, now) for name, b in self.copies.items()
+            estimate.memory_mb * self.estimated_copies(name, now) for name, estimate in self.copies.items()
         )
 
     def begin(self, name: str, now: int) -> None:
@@ -260,16 +260,18 @@
             del self.inflight_by_function[name]
 
     def prune(self, now: int, since: int) -> None:
-        """Drop expired entries.  Returns early for the many workers of a large fleet that hold none."""
+        """Drop expired entries, and sends before `since`; most workers of a large fleet have none."""
         if not (self.recent_sends.times or self.copies or self.rejections or self.load_backoff):
             return
         self.recent_sends.count(since)
-        self.copies = {n: b for n, b in self.copies.items() if self.estimated_copies(n, now)}
-        self.rejections = {key: until for key, until in self.rejections.items() if until > now}
-        self.load_backoff = {name: until for name, until in self.load_backoff.items() if until > now}
+        self.copies = {
+            name: copies for name, copies in self.copies.items() if self.estimated_copies(name, now)
+        }
+        self.rejections = {key: expires_at for key, expires_at in self.rejections.items() if expires_at > now}
+        self.load_backoff = {name: retry_at for name, retry_at in self.load_backoff.items() if retry_at > now}
 
 
-QueueKey = tuple[str, str]  # function, and the group that a repeat is bound to ("" if to none)
+QueueKey = tuple[str, str]  # function, and the repeat group that its calls are bound to ("" if to none)
 
 
 class RouterState:
@@ -288,7 +290,7 @@
         self.calls: dict[str, Call] = {}
         self.queues: dict[QueueKey, deque[Call]] = {}
         self.recent_arrivals, self.recent_orders = SlidingWindow(), SlidingWindow()
-        self.dirty_functions: set[str] = set()  # functions whose queues are checked in this batch
+        self.dirty_functions: set[str] = set()  # functions whose queues are to be checked in this batch
         self.recheck_at = 0  # when all queues are checked again
         self.resumed_at = 0  # end of the last gap in our own clock
         self.median_relative_latency = 1.0  # of the ready workers
@@ -298,13 +300,13 @@
         self.now = self.started_at = 0
         self.seq = 0  # numbers calls and timers in order
         self.actions: list[io.Action] = []
-        self._timers: dict[int, tuple[Callable[..., None], tuple, int]] = {}
+        self._timers: dict[int, tuple[Callable[..., None], tuple, int]] = {}  # callback, arguments, due time
 
-    def _schedule(self, delay: float, act: Callable[..., None], *args: object) -> None:
-        """Call `act` after a delay in microseconds."""
+    def _schedule(self, delay_us: float, callback: Callable[..., None], *args: object) -> None:
+        """Call `callback` with `args` after a delay."""
         self.seq += 1
-        self._timers[self.seq] = (act, args, self.now + max(0, int(delay)))
-        self.actions.append(io.SetTimer(max(0, int(delay)), self.seq))
+        self._timers[self.seq] = (callback, args, self.now + max(0, int(delay_us)))
+        self.actions.append(io.SetTimer(max(0, int(delay_us)), self.seq))
 
     def due_at(self, event: io.Event) -> int:
         """When an event was due, if it is a timer of this router; else now."""
@@ -314,8 +316,8 @@
     def _on_other(self, event: io.Event) -> None:
         """Handle timers and events that only update state; probes and messages of peers are not used."""
         if isinstance(event, io.Timer) and event.token in self._timers:
-            act, args, _ = self._timers.pop(event.token)
-            act(*args)
+            callback, args, _ = self._timers.pop(event.token)
+            callback(*args)
         elif isinstance(event, io.Left) and event.id in self.calls:
             self._end(self.calls[event.id])
         elif isinstance(event, io.First) and event.id in self.calls:
