--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -104,7 +104,7 @@
         self.actions.append(io.Watch(True))
 
     def _on_members(self, event: io.Members) -> None:
-        if event.how is ListKind.FAILED:  # keep the old list, and ask again after a delay
+        if event.kind is ListKind.FAILED:  # keep the old list, and ask again after a delay
             # A router that asks less often than configured is held responsible for changes that it missed.
             self._schedule(min(SWEEP_US, self.settings.ask_within_us or SWEEP_US), self._watch)
             return
@@ -643,7 +643,7 @@
         worker, function = self.workers.get(event.worker), self.functions.get(event.function)
         if worker is None:
             return
-        if event.asked:
+        if event.is_query:
             self._on_query_answered(worker, event)
             return
         if function is None:
--- a/swiftwell/discovery/roster.py
+++ b/swiftwell/discovery/roster.py
@@ -79,11 +79,11 @@
 
     def apply_list(self, now: int, event: Members) -> Members:
         """Applies a live list and returns the update for the router."""
-        if event.how is ListKind.FAILED:
+        if event.kind is ListKind.FAILED:
             return event
         listed = {entry.worker for entry in event.entries}
         updates = [self._apply_entry(now, entry) for entry in event.entries]
-        if event.how is not ListKind.DELTA:
+        if event.kind is not ListKind.DELTA:
             before = sum(not known.left_us for known in self.known.values())
             if not before or not trust.COLLAPSE_RATIO <= len(listed) / before <= 1 / trust.COLLAPSE_RATIO:
                 self.size_since = now
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -515,7 +515,7 @@
     def _confirm(self, members: io.Members) -> None:
         """The first whole list names which workers of believed books are still there; the others are
         forgotten."""
-        if self._unconfirmed and members.how is io.ListKind.FULL:
+        if self._unconfirmed and members.kind is io.ListKind.FULL:
             gone = self._unconfirmed - self.roster.known.keys()
             entries = tuple(replace(self.router.workers[w].entry, state=io.State.GONE) for w in sorted(gone))
             self._events.append(io.Members(io.ListKind.DELTA, entries))
@@ -567,7 +567,7 @@
 
     def _unhidden(self, members: io.Members) -> io.Members:
         """Ready workers of a site that is not shown stand as draining: what runs there ends, nothing new."""
-        if not self._hidden or members.how is io.ListKind.FAILED:
+        if not self._hidden or members.kind is io.ListKind.FAILED:
             return members
         entries = tuple(
             replace(entry, state=io.State.DRAINING)
@@ -710,7 +710,7 @@
             case io.Load():
                 self._load(act)
             case io.Watch():
-                self._out.append(ports.AskList(act.on))
+                self._out.append(ports.AskList(act.enabled))
             case io.Log():
                 self._log("info", "module", text=act.text)
 
@@ -726,7 +726,7 @@
         number = len(call.attempts)
         if number:
             self._log("info", "retry", request=call.trigger.key, number=number, worker=act.worker)
-        until = min(act.until_us or call.deadline_us, call.deadline_us)
+        until = min(act.deadline_us or call.deadline_us, call.deadline_us)
         attempt, by_us = Attempt(act.worker, deadline_us=until, sent_us=self._now), call.send_before_us()
         attempt.timer = self._wheel.add(until, lambda: self._abandon(call, number, Status.TIMEOUT))
         call.attempts.append(attempt)
@@ -765,7 +765,7 @@
                 self._log("error", "refusal-withheld", call=call.id)
             answer = self._doubt(call)
         else:
-            answer = Answer(Kind.REFUSED, tr.NOT_RUN, wait_us=act.wait_us, attempts=len(call.attempts))
+            answer = Answer(Kind.REFUSED, tr.NOT_RUN, wait_us=act.retry_after_us, attempts=len(call.attempts))
         self._settle(call, answer)
         self._drop(call)
 
--- a/swiftwell/interface.py
+++ b/swiftwell/interface.py
@@ -1,7 +1,7 @@
 """The types that swiftwell.choice takes and returns: settings, events and actions.
 
 Times and durations are whole microseconds; memory is in MB.  Nothing is decided here.  Events and actions are
-named tuples: a frozen dataclass each took 1 ms of every start, of which hundreds of routers make one at once.
+named tuples, as a frozen dataclass for each added 1 ms to every start, and hundreds of routers start at once.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request of a class does."""
+    """Whether a request of a class may be repeated."""
 
     SAFE = "idempotent"
-    KEYED = "deduplicated"
+    KEYED = "deduplicated"  # workers drop repeats of a request for some time
     UNSAFE = "at_most_once"
 
 
 class State(Enum):
-    """What the list says of a worker."""
+    """State of a worker in the worker list."""
 
     READY = "Running"
     DRAINING = "Stopping"
@@ -28,44 +28,45 @@
 
 
 class ListKind(Enum):
-    """How an update of the list of workers is to be read."""
+    """Kind of an update of the worker list."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    DELTA = "delta"  # changed entries only
+    FULL = "full"  # all entries: workers left out are gone
+    CACHED = "cached"  # all entries, of a saved list
+    FAILED = "failed"  # discovery failed: the last list stays in use
 
 
 class Status(IntEnum):
-    """How an attempt, a probe or an order ended."""
+    """Result of an attempt, a probe or a load order."""
 
     OK = 0
     CANCELLED = 1
     TIMEOUT = 4
-    MISS = 5
+    MISS = 5  # no copy of the function is loaded
     FULL = 8
-    MOOT = 9
+    MOOT = 9  # not sent, for a reason on the router's side
     RESET = 10
     ERROR = 13
     CONNECT_FAILED = 14
 
 
+# Results that prove that the call did not run.
 NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; `scope` is all, zone or cell."""
+    """A class of requests."""
 
     name: str
-    target_us: int
+    target_us: int  # latency within which an answer has its full worth
     deadline_us: int
     effect: Effect
-    scope: str
-    memory_us: int
-    streamed: bool
-    worth: float
-    late_worth: float
+    scope: str  # all, zone or cell: the workers that drop repeats of each other's keyed requests
+    memory_us: int  # for which workers drop repeats of a keyed request
+    streamed: bool  # answers begin before they end
+    worth: float  # of an answer in time, relative to other classes
+    late_worth: float  # share of the worth that a late answer has
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,95 +80,99 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one router is told when it starts.
+    """The configuration that a router gets when it starts.
 
-    A value that is not told is neutral: the default here, for the bench's wire and the running gateway alike.
+    A setting that is not given has the neutral default here, for the simulator's wire and the gateway alike.
     """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    routers: int = 1
-    position: int = 0
-    tick_us: int = 1_000
-    zone: str = ""
-    kind_memory_mb: tuple[tuple[str, float], ...] = ()
-    idle_life_us: int = 0
-    may_load: bool = False
-    misses: bool = False
-    load_free: float = 0.0
-    load_share: float = 0.0
-    load_window_us: int = 0
+    routers: int = 1  # that share the workers, this one included
+    position: int = 0  # of this router among them, from 0
+    tick_us: int = 1_000  # granularity of timers
+    zone: str = ""  # of this router
+    kind_memory_mb: tuple[tuple[str, float], ...] = ()  # kind of worker, memory for copies
+    idle_life_us: int = 0  # after which a worker may unload an idle copy
+    may_load: bool = False  # whether load orders are allowed
+    misses: bool = False  # workers without a copy answer MISS; otherwise they load one themselves
+    load_free: float = 0.0  # load orders allowed in a window, whatever the traffic
+    load_share: float = 0.0  # further load orders for each call received in the window
+    load_window_us: int = 0  # 0: no limit on load orders
     order_timeout_us: int = 0
-    tells_warm: bool = False
-    tells_crowd: bool = False
-    asked_discovery: bool = False
-    ask_within_us: int = 0
+    tells_warm: bool = False  # outcomes report the state of the copy
+    tells_crowd: bool = False  # outcomes report how many calls wait for the function
+    asked_discovery: bool = False  # the worker list has to be asked for, with `Watch`
+    ask_within_us: int = 0  # longest time between such requests; 0: not set
     may_cancel: bool = False
     may_probe: bool = False
-    peers: bool = False
-    second_copies: bool = False
-    retry_after: bool = False
+    peers: bool = False  # routers may send each other messages
+    second_copies: bool = False  # a second attempt may start while the first runs
+    retry_after: bool = False  # refusals may carry a delay before a retry
     max_retry_after_us: int = 0
-    max_attempts: int = 1
+    max_attempts: int = 1  # for one call
     answer_slack_us: int = 0
-    cold_share: float = 1.0
-    cold_us: int = 0
-    fall_multiple: float = 1.0
-    fall_us: int = 0
+    cold_share: float = 1.0  # share of its capacity that a worker has when its process starts
+    cold_us: int = 0  # after which a started process is warm
+    fall_multiple: float = 1.0  # multiple of its capacity that makes a cold worker fail
+    fall_us: int = 0  # duration of such a load after which it fails
     drain_grace_us: int | None = None  # None: no rule on drains
-    sized_weights: bool = False
+    sized_weights: bool = False  # `WorkerEntry.weight` states the size of a worker
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One line of the list of workers; `started_us` 0 means long ago, untold."""
+    """An entry of the worker list."""
 
     worker: str
     state: State
     kind: str
     weight: float
-    started_us: int
+    started_us: int  # when its process started; 0: unknown, taken as long ago
     zone: str
     cell: int
 
 
 class Members(NamedTuple):
-    """An update of the list of workers."""
+    """An update of the worker list."""
 
-    how: ListKind
+    kind: ListKind
     entries: tuple[WorkerEntry, ...]
 
 
 class Request(NamedTuple):
-    """A client's call; hints that are not told are 0."""
+    """A client's call; hints that are not given are 0."""
 
     id: str
     request_class: str
     tenant: str
     function: str
-    left_us: int
-    hint_us: int
-    memory_mb: float
-    lanes: int
-    load_us: int
-    repeated: bool
+    left_us: int  # time left until its deadline
+    hint_us: int  # expected run time
+    memory_mb: float  # of a copy of the function
+    lanes: int  # calls that a copy runs at a time
+    load_us: int  # expected load time
+    repeated: bool  # the client has sent it before
 
 
 class Outcome(NamedTuple):
-    """The end of an attempt."""
+    """The end of an attempt.
+
+    `note` is the state of the copy (0 unknown, 1 loaded already, 2 loaded for this call, 3 the call waited for
+    a load, 4 the load failed) plus 8 times the number of calls that wait for the function.
+    """
 
     id: str
     attempt: int
     worker: str
     status: Status
     latency_us: int
-    closed: bool
+    closed: bool  # the call has its final answer
     note: int
-    report: tuple[tuple[str, float], ...]
+    report: tuple[tuple[str, float], ...]  # figures of the worker: "rif", the calls that it holds
 
 
 class First(NamedTuple):
-    """The answer of a streamed request has begun."""
+    """The first byte of a streamed answer has arrived."""
 
     id: str
     attempt: int
@@ -184,36 +189,39 @@
 
 
 class Loaded(NamedTuple):
-    """The answer to an order, or to a question (`asked`): so many copies stand."""
+    """The end of a load order, or of a query (`is_query`)."""
 
     worker: str
     function: str
     status: Status
     latency_us: int
-    copies: int
-    asked: bool = False
+    copies: int  # loaded now
+    is_query: bool = False
 
 
 class Restarted(NamedTuple):
-    """A worker's process may be another one than before, of which the list could not tell."""
+    """A worker's process may have changed without an update of the list, as that is stale."""
 
     worker: str
 
 
 class ListState(NamedTuple):
-    """The list is stale (what went unheard may count as told), or current again."""
+    """The worker list is stale, or current again.
+
+    While it is stale, the router may be held to changes of workers that it has not received.
+    """
 
     stale: bool
 
 
 class Left(NamedTuple):
-    """The client of a request has gone."""
+    """The client of a request has disconnected."""
 
     id: str
 
 
 class Timer(NamedTuple):
-    """A timer has come due."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
@@ -229,35 +237,35 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; it is abandoned at `until_us`."""
+    """Start an attempt; it is abandoned at `deadline_us`."""
 
     id: str
     worker: str
-    until_us: int
+    deadline_us: int
 
 
 class Refuse(NamedTuple):
-    """Final answer: not done, a retry is harmless."""
+    """Final answer: not done, or a retry is harmless; the client may retry after `retry_after_us`."""
 
     id: str
-    wait_us: int
+    retry_after_us: int
 
 
 class Fail(NamedTuple):
-    """Final answer that promises nothing."""
+    """Final answer: the call may or may not have run."""
 
     id: str
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     id: str
     attempt: int
 
 
 class Load(NamedTuple):
-    """Hold at least so many copies of a function; 0 only asks."""
+    """Order a worker to have at least `copies` copies of a function loaded; 0 queries how many are."""
 
     worker: str
     function: str
@@ -265,9 +273,9 @@
 
 
 class Watch(NamedTuple):
-    """Ask discovery for changes."""
+    """Ask discovery for updates of the worker list."""
 
-    on: bool
+    enabled: bool
 
 
 class SetTimer(NamedTuple):
@@ -278,7 +286,7 @@
 
 
 class Log(NamedTuple):
-    """A line for those on call."""
+    """A line for the log."""
 
     text: str
 
--- a/swiftwell/router_state.py
+++ b/swiftwell/router_state.py
@@ -35,7 +35,7 @@
 def changed_entries(event: io.Members, known: dict[str, Worker]) -> list[io.WorkerEntry]:
     """The entries that an update changes; a worker that a full list omits is marked as gone."""
     entries = list(event.entries)
-    if event.how is not io.ListKind.DELTA:
+    if event.kind is not io.ListKind.DELTA:
         named = {entry.worker for entry in entries}
         omitted = [worker.entry for name, worker in known.items() if name not in named]
         entries += [replace(entry, state=io.State.GONE) for entry in omitted]
--- a/swiftwell/wire.py
+++ b/swiftwell/wire.py
@@ -244,9 +244,9 @@
     """One line of a reply."""
     match act:
         case io.Send():
-            return f"PASS_ON id={act.id} worker={act.worker} not-past-ms={act.until_us / 1000}"
+            return f"PASS_ON id={act.id} worker={act.worker} not-past-ms={act.deadline_us / 1000}"
         case io.Refuse():
-            return f"BOUNCE id={act.id} wait-ms={act.wait_us / 1000}"
+            return f"BOUNCE id={act.id} wait-ms={act.retry_after_us / 1000}"
         case io.Fail():
             return f"GIVE_UP id={act.id}"
         case io.Cancel():
@@ -254,7 +254,7 @@
         case io.Load():
             return f"HOLD_THERE worker={act.worker} handler={act.function} instances={act.copies}"
         case io.Watch():
-            return f"OBSERVE enable={int(act.on)}"
+            return f"OBSERVE enable={int(act.enabled)}"
         case io.SetTimer():
             return f"SET_TIMER wait-ms={act.delay_us / 1000} ctx={act.token}"
         case io.Log():
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -611,7 +611,7 @@
                 bench.answer(send, us=1_500_000)
         bench.do(io.Members(io.ListKind.FULL, ()))
         bench.call()
-        assert only(bench.wait(790_000), io.Refuse)[-1].wait_us == wait
+        assert only(bench.wait(790_000), io.Refuse)[-1].retry_after_us == wait
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.MISS])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -444,7 +444,7 @@
         listing.fault(fault, 0.4)
         listing.put("127.0.0.1:2000", now=True, started_ms=0)
         await until(lambda m: len(m.entries) == 7)
-        assert all(m.how is ListKind.FULL for m in seen)
+        assert all(m.kind is ListKind.FULL for m in seen)
         task.cancel()
         listing.server.stop()
 
