--- a/swiftwell/interface.py
+++ b/swiftwell/interface.py
@@ -157,8 +157,8 @@
 class Outcome(NamedTuple):
     """The end of an attempt.
 
-    `note` is the state of the copy (0 unknown, 1 loaded already, 2 loaded for this call, 3 the call waited for
-    a load, 4 the load failed) plus 8 times the number of calls that wait for the function.
+    `note` is the state of the copy (0 unknown, 1 loaded already, 2 loaded for this call, 3 waited for a load,
+    4 load failed) plus 8 times the number of calls that wait for the function.
     """
 
     id: str
--- a/swiftwell/wire.py
+++ b/swiftwell/wire.py
@@ -1,4 +1,7 @@
-"""The bench's wire: text to and from the types of swiftwell.interface.  Nothing is decided here."""
+"""The simulator's wire: converts its text lines to and from the types of swiftwell.interface.
+
+Nothing is decided here.  Times on the wire are in milliseconds (`-ms`), in the types in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -15,30 +18,31 @@
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow."""
+    """A malformed line."""
 
 
-def fields(line: str) -> tuple[str, Fields]:
-    """Split a line into its name and its name=value pairs; pairs of `conf` keep their path."""
-    name, *parts = line.split(" ")
-    found: Fields = {}
-    for part in parts:
-        key, sign, value = part.partition("=")
-        if not sign or not key:
-            raise WireError(f"not a name=value pair: {part!r}")
-        found[key] = value
-    return name, found
+def parse_line(line: str) -> tuple[str, Fields]:
+    """Split a line into the name of its message and its name=value pairs, whose names may be dotted paths."""
+    name, *pairs = line.split(" ")
+    fields: Fields = {}
+    for pair in pairs:
+        key, separator, value = pair.partition("=")
+        if not separator or not key:
+            raise WireError(f"not a name=value pair: {pair!r}")
+        fields[key] = value
+    return name, fields
 
 
-def _read(found: Fields, key: str, parse: Callable[[str], T], default: T | None = None) -> T:
-    if key not in found:
+def _read(fields: Fields, key: str, parse: Callable[[str], T], default: T | None = None) -> T:
+    """Parse the value of a field; raises WireError if it is malformed, or missing without a default."""
+    if key not in fields:
         if default is None:
             raise WireError(f"{key} is missing")
         return default
     try:
-        return parse(found[key])
+        return parse(fields[key])
     except (ValueError, OverflowError, binascii.Error):
-        raise WireError(f"{key} is malformed: {found[key]!r}") from None
+        raise WireError(f"{key} is malformed: {fields[key]!r}") from None
 
 
 def _number(text: str) -> float:
@@ -59,71 +63,73 @@
 
 
 def _report(text: str) -> tuple[tuple[str, float], ...]:
-    pairs = [part.partition(":") for part in text.split(",") if part]
+    pairs = [pair.partition(":") for pair in text.split(",") if pair]
     return tuple((name, _number(value)) for name, _, value in pairs)
 
 
-def clock(found: Fields) -> int:
-    """The time of a batch."""
-    return _read(found, "clock-ms", _us)
+def batch_time(fields: Fields) -> int:
+    """The time of a batch, in microseconds."""
+    return _read(fields, "clock-ms", _us)
 
 
-def instance(found: Fields) -> int:
-    """The router that the following lines belong to."""
-    return _read(found, "router-id", int)
+def router_id(fields: Fields) -> int:
+    """The id of the router that the following lines are for."""
+    return _read(fields, "router-id", int)
 
 
-def page(found: Fields) -> tuple[int, int]:
-    """The number of a list and of its entries."""
-    return _read(found, "sheet", int), _read(found, "records", int)
+def list_header(fields: Fields) -> tuple[int, int]:
+    """The number of a worker list, and the number of its entries."""
+    return _read(fields, "sheet", int), _read(fields, "records", int)
 
 
-def entry(found: Fields) -> io.WorkerEntry:
-    """One entry of a list."""
+def worker_entry(fields: Fields) -> io.WorkerEntry:
+    """An entry of a worker list."""
     return io.WorkerEntry(
-        worker=_read(found, "worker", str),
-        state=_read(found, "mode", io.State),
-        kind=_read(found, "class-of-host", str, ""),
-        weight=_read(found, "weight", _number, 1.0),
-        started_us=_read(found, "since-ms", _us, 0),
-        zone=_read(found, "region-part", str, ""),
-        cell=_read(found, "block", int, 0),
+        worker=_read(fields, "worker", str),
+        state=_read(fields, "mode", io.State),
+        kind=_read(fields, "class-of-host", str, ""),
+        weight=_read(fields, "weight", _number, 1.0),
+        started_us=_read(fields, "since-ms", _us, 0),
+        zone=_read(fields, "region-part", str, ""),
+        cell=_read(fields, "block", int, 0),
     )
 
 
-def update(found: Fields) -> tuple[io.ListKind, int]:
-    """The kind of an update and the number of its list."""
-    how = _read(found, "how", io.ListKind)
-    return how, _read(found, "sheet", int, 0 if how is io.ListKind.FAILED else None)
+def list_update(fields: Fields) -> tuple[io.ListKind, int]:
+    """The kind of an update, and the number of the worker list that it refers to."""
+    kind = _read(fields, "how", io.ListKind)
+    return kind, _read(fields, "sheet", int, 0 if kind is io.ListKind.FAILED else None)
 
 
-def _items(found: Fields, path: str) -> list[str]:
-    return [f"{path}.{i}." for i in range(_read(found, f"{path}.count", int, 0))]
+def _item_prefixes(fields: Fields, path: str) -> list[str]:
+    """The prefixes of the fields of each item of a list."""
+    return [f"{path}.{i}." for i in range(_read(fields, f"{path}.count", int, 0))]
 
 
-def _request_class(found: Fields, at: str) -> io.RequestClass:
+def _request_class(fields: Fields, prefix: str) -> io.RequestClass:
     return io.RequestClass(
-        name=_read(found, at + "name", str),
-        target_us=_read(found, at + "target-ms", _us),
-        deadline_us=_read(found, at + "deadline-ms", _us),
-        effect=_read(found, at + "effect", io.Effect),
-        scope=_read(found, at + "dedup-scope", str, "all"),
-        memory_us=_read(found, at + "memory-span-ms", _us, 0),
-        streamed=_read(found, at + "streamed", _flag, False),
-        worth=_read(found, at + "value", _number, 1.0),
-        late_worth=_read(found, at + "late-value", _number, 0.0),
+        name=_read(fields, prefix + "name", str),
+        target_us=_read(fields, prefix + "target-ms", _us),
+        deadline_us=_read(fields, prefix + "deadline-ms", _us),
+        effect=_read(fields, prefix + "effect", io.Effect),
+        scope=_read(fields, prefix + "dedup-scope", str, "all"),
+        memory_us=_read(fields, prefix + "memory-span-ms", _us, 0),
+        streamed=_read(fields, prefix + "streamed", _flag, False),
+        worth=_read(fields, prefix + "value", _number, 1.0),
+        late_worth=_read(fields, prefix + "late-value", _number, 0.0),
     )
 
 
-def _tenant(found: Fields, at: str) -> io.Tenant:
+def _tenant(fields: Fields, prefix: str) -> io.Tenant:
     return io.Tenant(
-        name=_read(found, at + "name", str),
-        share=_read(found, at + "portion", _number, 0.0),
-        quota_rps=_read(found, at + "quota-rps", _number, 0.0),
+        name=_read(fields, prefix + "name", str),
+        share=_read(fields, prefix + "portion", _number, 0.0),
+        quota_rps=_read(fields, prefix + "quota-rps", _number, 0.0),
     )
 
 
-_TOLD: tuple[tuple[str, str, Callable[[str], object]], ...] = (
+# Optional settings: field of `io.Settings`, name on the wire, parser.
+_OPTIONAL_SETTINGS: tuple[tuple[str, str, Callable[[str], object]], ...] = (
     ("idle_life_us", "family-info.idle-life-ms", _us),
     ("may_load", "family-info.may-load", _flag),
     ("load_free", "family-info.load-free", _number),
@@ -148,39 +154,39 @@
 )
 
 
-def settings(found: Fields) -> tuple[int, io.Settings]:
-    """The seed and the settings of a BEGIN; what is not told keeps the default of `io.Settings`."""
-    memory = [_number(x) for x in found.get("family-info.memory-mb-by-kind", "").split(",") if x]
-    kinds = [x for x in found.get("flavors", "").split(",") if x]
-    told = {name: _read(found, key, parse) for name, key, parse in _TOLD if key in found}
-    return _read(found, "salt", int), io.Settings(
-        classes=tuple(_request_class(found, at) for at in _items(found, "lanes")),
-        tenants=tuple(_tenant(found, at) for at in _items(found, "customers")),
-        routers=_read(found, "balancers", int),
-        position=_read(found, "position", int),
-        tick_us=_read(found, "tick-ms", _us),
-        zone=found.get("locality", ""),
-        kind_memory_mb=tuple(zip(kinds, memory, strict=False)),
-        misses=found.get("family-info.miss-mode", "load") == "miss",
-        asked_discovery=found.get("discovery", "pushed") == "on_request",
-        max_attempts=_read(found, "limits.max-attempts", int),
-        sized_weights=found.get("weight-kind", "off") in ("nominal", "rough"),
-        **told,
+def settings(fields: Fields) -> tuple[int, io.Settings]:
+    """The seed and the settings of a BEGIN; settings that it omits keep the defaults of `io.Settings`."""
+    memory_mb = [_number(text) for text in fields.get("family-info.memory-mb-by-kind", "").split(",") if text]
+    kinds = [kind for kind in fields.get("flavors", "").split(",") if kind]
+    optional = {name: _read(fields, key, parse) for name, key, parse in _OPTIONAL_SETTINGS if key in fields}
+    return _read(fields, "salt", int), io.Settings(
+        classes=tuple(_request_class(fields, prefix) for prefix in _item_prefixes(fields, "lanes")),
+        tenants=tuple(_tenant(fields, prefix) for prefix in _item_prefixes(fields, "customers")),
+        routers=_read(fields, "balancers", int),
+        position=_read(fields, "position", int),
+        tick_us=_read(fields, "tick-ms", _us),
+        zone=fields.get("locality", ""),
+        kind_memory_mb=tuple(zip(kinds, memory_mb, strict=False)),
+        misses=fields.get("family-info.miss-mode", "load") == "miss",
+        asked_discovery=fields.get("discovery", "pushed") == "on_request",
+        max_attempts=_read(fields, "limits.max-attempts", int),
+        sized_weights=fields.get("weight-kind", "off") in ("nominal", "rough"),
+        **optional,
     )
 
 
-def _request(found: Fields) -> io.Request:
+def _request(fields: Fields) -> io.Request:
     return io.Request(
-        id=_read(found, "id", str),
-        request_class=_read(found, "band", str),
-        tenant=_read(found, "tenant", str, ""),
-        function=_read(found, "handler", str, ""),
-        left_us=_read(found, "grace-ms", _us),
-        hint_us=_read(found, "cost-ms", _us, 0),
-        memory_mb=_read(found, "mem-mb", _number, 0.0),
-        lanes=max(1, _read(found, "width", int, 1)),
-        load_us=_read(found, "warm-ms", _us, 0),
-        repeated=_read(found, "again-by-client", _flag, False),
+        id=_read(fields, "id", str),
+        request_class=_read(fields, "band", str),
+        tenant=_read(fields, "tenant", str, ""),
+        function=_read(fields, "handler", str, ""),
+        left_us=_read(fields, "grace-ms", _us),
+        hint_us=_read(fields, "cost-ms", _us, 0),
+        memory_mb=_read(fields, "mem-mb", _number, 0.0),
+        lanes=max(1, _read(fields, "width", int, 1)),
+        load_us=_read(fields, "warm-ms", _us, 0),
+        repeated=_read(fields, "again-by-client", _flag, False),
     )
 
 
@@ -188,60 +194,62 @@
     return io.Status(int(text))
 
 
-def _outcome(found: Fields) -> io.Outcome:
+def _outcome(fields: Fields) -> io.Outcome:
     return io.Outcome(
-        id=_read(found, "id", str),
-        attempt=_read(found, "n", int),
-        worker=_read(found, "worker", str),
-        status=_read(found, "how", _status),
-        latency_us=_read(found, "cost-time-ms", _us, 0),
-        closed=_read(found, "over", _flag, False),
-        note=_read(found, "remark", int, 0),
-        report=_read(found, "report", _report, ()),
+        id=_read(fields, "id", str),
+        attempt=_read(fields, "n", int),
+        worker=_read(fields, "worker", str),
+        status=_read(fields, "how", _status),
+        latency_us=_read(fields, "cost-time-ms", _us, 0),
+        closed=_read(fields, "over", _flag, False),
+        note=_read(fields, "remark", int, 0),
+        report=_read(fields, "report", _report, ()),
     )
 
 
-def _first(found: Fields) -> io.First:
-    return io.First(_read(found, "id", str), _read(found, "n", int), _read(found, "worker", str))
+def _first(fields: Fields) -> io.First:
+    return io.First(_read(fields, "id", str), _read(fields, "n", int), _read(fields, "worker", str))
 
 
-def _probed(found: Fields) -> io.Probed:
+def _probed(fields: Fields) -> io.Probed:
     return io.Probed(
-        worker=_read(found, "worker", str),
-        status=_read(found, "how", _status),
-        latency_us=_read(found, "cost-time-ms", _us, 0),
-        report=_read(found, "report", _report, ()),
+        worker=_read(fields, "worker", str),
+        status=_read(fields, "how", _status),
+        latency_us=_read(fields, "cost-time-ms", _us, 0),
+        report=_read(fields, "report", _report, ()),
     )
 
 
-def _loaded(found: Fields) -> io.Loaded:
+def _loaded(fields: Fields) -> io.Loaded:
     return io.Loaded(
-        worker=_read(found, "worker", str),
-        function=_read(found, "handler", str),
-        status=_read(found, "how", _status),
-        latency_us=_read(found, "cost-time-ms", _us, 0),
-        copies=_read(found, "instances", int, 0),
+        worker=_read(fields, "worker", str),
+        function=_read(fields, "handler", str),
+        status=_read(fields, "how", _status),
+        latency_us=_read(fields, "cost-time-ms", _us, 0),
+        copies=_read(fields, "instances", int, 0),
     )
 
 
 def _octets(text: str) -> bytes:
+    """Base64, or "-" for no bytes."""
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
+# Messages that are events of a router, by name.
 EVENTS: dict[str, Callable[[Fields], io.Event]] = {
     "DEMAND": _request,
     "ANSWER": _outcome,
     "HEAD_RECEIVED": _first,
     "HEALTH": _probed,
     "BROUGHT_UP": _loaded,
-    "LEFT": lambda found: io.Left(_read(found, "id", str)),
-    "REMINDER": lambda found: io.Timer(_read(found, "ctx", int)),
-    "MEMO": lambda found: io.Peer(_read(found, "by", int), _read(found, "octets", _octets)),
+    "LEFT": lambda fields: io.Left(_read(fields, "id", str)),
+    "REMINDER": lambda fields: io.Timer(_read(fields, "ctx", int)),
+    "MEMO": lambda fields: io.Peer(_read(fields, "by", int), _read(fields, "octets", _octets)),
 }
 
 
 def action(act: io.Action) -> str:
-    """One line of a reply."""
+    """The line of a reply for an action."""
     match act:
         case io.Send():
             return f"PASS_ON id={act.id} worker={act.worker} not-past-ms={act.deadline_us / 1000}"
