--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path, the rules at their boundaries, and each failure found so far."""
+"""The ordinary path of the decisions, the operators' rules at their limits, and each failure found so far."""
 
 import math
 from collections import Counter
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import ORDERS, PLAIN, TICK, Bench, entry, left_to_the_collector, only
+from helpers import ORDERS, PLAIN, TICK, Bench, cyclic_garbage, entry, only
 
 from swiftwell import interface as io
 from swiftwell import router_state as rs
@@ -48,13 +48,13 @@
 def test_ties_go_by_a_hash_of_worker_and_own_number() -> None:
     chosen = set()
     for position in range(8):
-        told = replace(PLAIN, position=position, routers=8)
-        bench, again = Bench(told), Bench(told, ("c", "b", "a"))
+        settings = replace(PLAIN, position=position, routers=8)
+        bench, reordered = Bench(settings), Bench(settings, ("c", "b", "a"))
         for _ in range(40):
-            for one in (bench, again):
-                for send in only(one.call(lanes=1), io.Send):
-                    one.answer(send)
-        last, same = only(bench.all, io.Send)[-1], only(again.all, io.Send)[-1]
+            for router in (bench, reordered):
+                for send in only(router.call(lanes=1), io.Send):
+                    router.answer(send)
+        last, same = only(bench.all, io.Send)[-1], only(reordered.all, io.Send)[-1]
         assert last.worker == same.worker
         chosen.add(last.worker)
     assert len(chosen) > 1
@@ -80,8 +80,8 @@
     full = io.Outcome(first.id, 0, "a", Status.FULL, 1_000, False, 0, (("rif", 0.0),))
     assert only(bench.do(full), io.Send) == []
     bench.wait(200_000)
-    assert only(bench.call("g", tenant="other"), io.Send) == []  # the class is marked for a second
-    (other,) = only(bench.call("h", "keyed", tenant="other"), io.Send)  # the worker is not
+    assert only(bench.call("g", tenant="other"), io.Send) == []  # the class is paused for a second
+    (other,) = only(bench.call("h", "keyed", tenant="other"), io.Send)  # the worker is not paused
     bench.answer(other)
     bench.wait(1_000_000)
     assert only(bench.call(), io.Send)
@@ -98,7 +98,7 @@
     assert [(s.id, s.worker) for s in sends] == [("r1", "a")]
 
 
-def test_followers_wait_for_the_copy_that_is_coming() -> None:
+def test_later_calls_wait_for_the_ordered_copy() -> None:
     bench = Bench(ORDERS)
     bench.call()
     bench.wait(40_000)
@@ -107,7 +107,7 @@
     assert len([order for order in only(bench.all, io.Load) if order.copies]) == 1
 
 
-def test_beliefs_die_with_the_process_and_fade_with_the_idle_life() -> None:
+def test_copy_estimates_are_dropped_on_restart_and_expire_after_the_idle_lifetime() -> None:
     bench = Bench()
     (first,) = only(bench.call(), io.Send)
     bench.answer(first)
@@ -118,18 +118,18 @@
     assert worker.estimated_copies("f", bench.now) == 0
 
 
-# --- rule 1: every request answered ---------------------------------------------------------------
+# --- rule 1: every request answered in time -------------------------------------------------------
 
 
 @pytest.mark.parametrize("left", [0, 1_000, 4_000, 50_000, 3_000_000])
 def test_a_call_without_workers_is_held_then_refused_before_its_deadline(left: int) -> None:
     bench = Bench(workers=())
-    begun = bench.now
+    started_at = bench.now
     actions = bench.call(left=left)
-    while not only(actions, io.Refuse) and bench.now < begun + left + 10_000:
+    while not only(actions, io.Refuse) and bench.now < started_at + left + 10_000:
         actions = bench.wait(2_000)
     assert only(bench.all, io.Refuse) == [io.Refuse("r1", 0)]
-    assert bench.now <= begun + max(left, 2_000)
+    assert bench.now <= started_at + max(left, 2_000)
 
 
 def test_an_answer_after_the_end_and_a_client_gone_in_the_same_batch() -> None:
@@ -183,7 +183,7 @@
     assert len(only(bench.all, io.Send)) == 1
 
 
-# --- rules 3 to 5 ---------------------------------------------------------------------------------
+# --- rules 3 to 5: draining workers, cold workers, load orders ----------------------------------
 
 
 @pytest.mark.parametrize("state", [io.State.DRAINING, io.State.GONE])
@@ -206,20 +206,25 @@
     assert [name for name, worker in bench.router.workers.items() if worker.ready] == ["b"]
 
 
-@pytest.mark.parametrize("within_us", [0, 300_000, 10_000_000])
-def test_a_discovery_that_fails_is_asked_again_within_the_told_time_however_often_it_fails(within_us) -> None:
-    """Who asks seldomer counts as told of what went unheard; four times as long after a failed call."""
-    bench = Bench(replace(PLAIN, asked_discovery=True, ask_within_us=within_us))
+@pytest.mark.parametrize("interval_us", [0, 300_000, 10_000_000])
+def test_a_discovery_that_fails_is_asked_again_within_the_configured_time_however_often_it_fails(
+    interval_us,
+) -> None:
+    """A router that asks less often is held to changes that it missed.
+
+    After a failed call it waited four times as long as configured.
+    """
+    bench = Bench(replace(PLAIN, asked_discovery=True, ask_within_us=interval_us))
     for _ in range(5):
         bench.do(io.Members(io.ListKind.FAILED, ()))
         bench.all.clear()
-        bench.wait(min(within_us or 1_000_000, 1_000_000) + 4_000)
+        bench.wait(min(interval_us or 1_000_000, 1_000_000) + 4_000)
         assert only(bench.all, io.Watch) == [io.Watch(True)]
 
 
-def test_every_order_counts_against_the_ration_in_a_sliding_window() -> None:
-    ration = replace(ORDERS, load_free=2.0, load_share=0.0, load_window_us=5_000_000)
-    bench = Bench(ration)
+def test_every_order_counts_against_the_rate_limit_in_a_sliding_window() -> None:
+    settings = replace(ORDERS, load_free=2.0, load_share=0.0, load_window_us=5_000_000)
+    bench = Bench(settings)
     for name in "fghij":
         bench.call(name, left=4_000_000)
     first = bench.now
@@ -260,7 +265,7 @@
     assert only(bench.call(), io.Send)
 
 
-def test_a_cap_falls_when_answers_are_slow_and_grows_back() -> None:
+def test_a_concurrency_limit_falls_when_answers_are_slow_and_grows_back() -> None:
     bench = Bench(workers=("a",))
     worker = bench.router.workers["a"]
     for _ in range(20):
@@ -269,19 +274,19 @@
     assert worker.concurrency_limit == 1.0
     for _ in range(60):
         sends = only(bench.call() + bench.wait(100_000), io.Send)
-        while sends:  # an answer may make room for a call that was held
+        while sends:  # an answer may make room for a queued call
             sends += only(bench.answer(sends.pop(), us=50_000), io.Send)
     assert worker.concurrency_limit > 1.0
 
 
 def test_a_busy_router_alone_does_not_run_out_of_room() -> None:
     bench = Bench(replace(PLAIN, routers=5), tuple("abcdefgh"))
-    out: list[io.Send] = []
+    in_flight: list[io.Send] = []
     for _ in range(40):
-        out += only(bench.call(lanes=8) + bench.wait(30_000), io.Send)
-        if len(out) > 6:
-            out += only(bench.answer(out.pop(0), us=180_000), io.Send)
-    assert len(only(bench.all, io.Send)) >= 36  # the last may still be held
+        in_flight += only(bench.call(lanes=8) + bench.wait(30_000), io.Send)
+        if len(in_flight) > 6:
+            in_flight += only(bench.answer(in_flight.pop(0), us=180_000), io.Send)
+    assert len(only(bench.all, io.Send)) >= 36  # the last calls may still be queued
     assert not only(bench.all, io.Refuse)
 
 
@@ -295,22 +300,23 @@
     assert (router.calls, router.functions, router.queues) == ({}, {}, {})
     assert len(router._timers) <= 2
     assert all(
-        len(w.copies) + len(w.load_backoff) + len(w.recent_sends.times) == 0 for w in router.workers.values()
+        len(worker.copies) + len(worker.load_backoff) + len(worker.recent_sends.times) == 0
+        for worker in router.workers.values()
     )
 
 
-# --- many routers, each seeing little ---------------------------------------------------------------
+# --- many routers, each with few calls ----------------------------------------------------------
 
 
-def test_routers_that_never_talk_meet_at_the_same_home_of_a_rare_function() -> None:
+def test_routers_choose_the_same_worker_for_a_rare_function_without_communicating() -> None:
     names = tuple(f"w{number}" for number in range(30))
     for name in "fgh":
-        told = [replace(PLAIN, position=position, routers=100) for position in range(100)]
-        chosen = {only(Bench(one, names).call(name), io.Send)[0].worker for one in told}
+        all_settings = [replace(PLAIN, position=position, routers=100) for position in range(100)]
+        chosen = {only(Bench(settings, names).call(name), io.Send)[0].worker for settings in all_settings}
         assert len(chosen) == 1
 
 
-def test_a_hot_function_is_spread_over_its_homes_by_the_routers() -> None:
+def test_a_hot_function_is_spread_over_its_preferred_workers_by_the_routers() -> None:
     names, chosen = tuple(f"w{number}" for number in range(30)), set()
     for position in range(40):
         bench = Bench(replace(PLAIN, position=position, routers=40), names)
@@ -322,9 +328,14 @@
     assert len(chosen) > 8
 
 
-@pytest.mark.parametrize("calls, homes", [(1, 4), (60, 12)])
-def test_hundreds_of_quiet_routers_do_not_all_meet_on_the_first_homes(calls: int, homes: int) -> None:
-    """Issue 11: each router took three calls of sixty for one, one for none; first homes got most sends."""
+@pytest.mark.parametrize("calls, min_workers", [(1, 4), (60, 12)])
+def test_hundreds_of_routers_with_few_calls_do_not_all_send_to_the_first_preferred_workers(
+    calls: int, min_workers: int
+) -> None:
+    """Issue 11: the first preferred workers got most sends.
+
+    Each router estimated one call from three of sixty, and none from one.
+    """
     names, last = tuple(f"w{number}" for number in range(97)), Counter()
     for position in range(60):
         bench = Bench(replace(PLAIN, position=position, routers=236), names)
@@ -335,18 +346,21 @@
                 last[send.worker] += number == calls - 1
             bench.wait(100_000)
     assert sum(last.values()) == 60
-    assert sum(1 for sends in last.values() if sends) >= homes
+    assert sum(1 for sends in last.values() if sends) >= min_workers
 
 
 @pytest.mark.parametrize("routers", [1, 3, 60, 280])
 def test_all_routers_together_keep_the_budget_of_a_starting_worker(routers: int) -> None:
-    """Twice the even share, from all of them: in any span less than one core's multiple at the cold share."""
+    """At twice the even share, from all routers together, no span may have more sends than the budget.
+
+    The budget is the multiple of what one core serves at the cold share.
+    """
     names, sent = tuple(entry(f"w{number}") for number in range(9)), []
     cold = entry("cold", started=1_000_000)
     calls = 2 * 60 * 4  # of ten workers at six calls a second each, for four seconds, twice
     for position in range(routers):
-        told = replace(PLAIN, position=position, routers=routers, fall_us=1_000_000)
-        bench = Bench(told, (*names, cold))
+        settings = replace(PLAIN, position=position, routers=routers, fall_us=1_000_000)
+        bench = Bench(settings, (*names, cold))
         share = calls // routers + (position < calls % routers)
         for _ in range(share):
             bench.wait(4_000_000 // max(1, share) // 2_000 * 2_000)
@@ -354,17 +368,20 @@
                 if send.worker == "cold":
                     sent.append(bench.now)
                 bench.answer(send, us=100_000)
-    worst = max((sum(1 for at in sent if 0 <= at - begin < 1_000_000) for begin in sent), default=0)
-    assert worst <= 3 * 0.2 * 2 / 0.1  # multiple x cold share x two cores, at 0.1 s a call
+    max_sends = max((sum(1 for at in sent if 0 <= at - begin < 1_000_000) for begin in sent), default=0)
+    assert max_sends <= 3 * 0.2 * 2 / 0.1  # multiple x cold share x two cores, at 0.1 s a call
 
 
 def test_quiet_routers_that_all_turn_to_one_starting_worker_keep_its_budget() -> None:
-    """Turns that were not used must not pile up until a function turns hot at all routers in one moment."""
+    """Unused ramp tokens must expire: otherwise routers with few calls save them up.
+
+    All of them would be used when a function becomes hot at all routers at the same moment.
+    """
     cold, sent = entry("cold", started=1_000_000), []
     for position in range(200):
-        told = replace(PLAIN, position=position, routers=200, fall_us=3_000_000, fall_multiple=2.0)
-        bench = Bench(told, (cold, *(entry(f"w{number}") for number in range(9))))
-        bench.router.workers["cold"].concurrency_limit = 0.0  # looked at, and not used
+        settings = replace(PLAIN, position=position, routers=200, fall_us=3_000_000, fall_multiple=2.0)
+        bench = Bench(settings, (cold, *(entry(f"w{number}") for number in range(9))))
+        bench.router.workers["cold"].concurrency_limit = 0.0  # a candidate, but without room
         for _ in range(20):  # 400 calls a second in all
             for send in only(bench.call(f"f{bench.count}"), io.Send):
                 bench.answer(send, us=100_000)
@@ -373,24 +390,27 @@
             worker.backoff_until = bench.now + 9_000_000
         bench.router.workers["cold"].backoff_until, bench.router.workers["cold"].concurrency_limit = 0, 4.0
         sent += only(bench.call("hot"), io.Send)
-    present = 0.2 + 0.8 * 10 / 16  # ten seconds of sixteen have passed
-    assert 10 < len(sent) <= 2 * present * 40 * 3  # multiple x capacity of one of ten x span
+    capacity = 0.2 + 0.8 * 10 / 16  # ten seconds of sixteen have passed
+    assert 10 < len(sent) <= 2 * capacity * 40 * 3  # multiple x capacity of one of ten x span
 
 
-def first_home(bench: Bench, function: str) -> Worker:
+def first_preferred(bench: Bench, function: str) -> Worker:
     key = stable_hash(function)
     return min(bench.router.ready, key=lambda worker: (worker.key ^ key) * HASH_MULTIPLIER % 2**64)
 
 
 def test_routers_that_just_started_leave_a_starting_worker_its_budget() -> None:
-    """Until its first sweep all that a router was served counted as one worker's: turns came too fast."""
-    told = replace(PLAIN, routers=200, fall_us=3_000_000, fall_multiple=2.0)
+    """Until the first sweep all calls that a router was served counted as one worker's.
+
+    Ramp tokens were therefore issued too fast.
+    """
+    settings = replace(PLAIN, routers=200, fall_us=3_000_000, fall_multiple=2.0)
     names, sent = tuple(entry(f"w{number}") for number in range(39)), 0
     for position in range(200):
-        bench = Bench(replace(told, position=position), (entry("cold", started=1_000_000), *names))
+        bench = Bench(replace(settings, position=position), (entry("cold", started=1_000_000), *names))
         cold, others = bench.router.workers["cold"], bench.router.ready[1:]
-        cold.concurrency_limit = 0.0  # looked at, and not used
-        hot = next(name for name in map(str, range(999)) if first_home(bench, name) is cold)
+        cold.concurrency_limit = 0.0  # a candidate, but without room
+        hot = next(name for name in map(str, range(999)) if first_preferred(bench, name) is cold)
         for _ in range(8):
             for send in only(bench.call(hot), io.Send):
                 bench.answer(send, us=50_000)
@@ -399,12 +419,12 @@
             worker.backoff_until = bench.now + 9_000_000
         cold.concurrency_limit = 4.0
         sent += len(only(bench.call(hot), io.Send))
-    even = 200 * 8 / 39  # calls of each of the others until now
-    assert 0 < sent <= even * 2 * 0.25  # times the told multiple and the capacity that is there
+    even_share = 200 * 8 / 39  # calls that each of the others got until now
+    assert 0 < sent <= even_share * 2 * 0.25  # times the configured multiple and the present capacity
 
 
 def test_calls_pass_starting_workers_by_when_most_of_a_fleet_is_new() -> None:
-    """Six in ten workers new: a call whose first two homes were starting was held, then refused."""
+    """Six in ten workers new: a call whose first two preferred workers were cold was queued, then refused."""
     names = tuple(entry(f"w{number}", started=1_000_000 if number % 5 < 3 else 0) for number in range(50))
     placed = 0
     for position in range(40):
@@ -418,78 +438,78 @@
 
 
 def test_a_starting_worker_gets_its_part_of_the_even_share_from_many_routers() -> None:
-    """A fleet mostly new was offered an eighth of what it can do, and the others the rest."""
+    """New workers, most of a fleet, got an eighth of what they can do, and the others all the rest."""
     names, sent = tuple(entry(f"w{number}") for number in range(10)), Counter()
     for position in range(60):
-        told = replace(PLAIN, position=position, routers=60, fall_us=3_000_000, fall_multiple=2.0)
-        bench = Bench(told, names)
+        settings = replace(PLAIN, position=position, routers=60, fall_us=3_000_000, fall_multiple=2.0)
+        bench = Bench(settings, names)
         for number in range(72):
             if number == 48:
-                gone = tuple(entry(f"w{one}", io.State.GONE) for one in range(6))
-                new = tuple(entry(f"n{one}", started=bench.now) for one in range(6))
+                gone = tuple(entry(f"w{index}", io.State.GONE) for index in range(6))
+                new = tuple(entry(f"n{index}", started=bench.now) for index in range(6))
                 bench.do(io.Members(io.ListKind.DELTA, gone + new))
             for send in only(bench.call(f"f{bench.count % 12}"), io.Send):
                 sent[send.worker] += number >= 48
                 bench.answer(send, us=100_000)
             bench.wait(250_000)
-    present = 0.2 + 0.8 * 3 / 16  # in the six seconds since
+    capacity = 0.2 + 0.8 * 3 / 16  # mean of the six seconds since
     starting, warm = (sum(sent[f"{kind}{number}"] for number in range(10)) for kind in "nw")
-    assert 0.4 * present < starting / 6 / (warm / 4) < 2 * 0.75 * present + 0.1
+    assert 0.4 * capacity < starting / 6 / (warm / 4) < 2 * 0.75 * capacity + 0.1
 
 
 def test_orders_are_earned_by_calls_where_workers_load_by_themselves() -> None:
-    """Orders are priced; with 200 routers there was nearly one for each call, most for copies that stood."""
+    """Orders have a cost; 200 routers sent nearly one for each call, most for copies that were loaded."""
     bench = Bench(replace(PLAIN, routers=200, may_load=True), ("a", "b"))
     sends = orders = 0
     for number in range(40):
-        done = bench.call(f"f{number}", lanes=1)
-        for order in only(done, io.Load):
+        actions = bench.call(f"f{number}", lanes=1)
+        for order in only(actions, io.Load):
             orders += 1
-            done = bench.do(io.Loaded(order.worker, order.function, io.Status.OK, 1_000, 1))
-        for send in only(done, io.Send):
+            actions = bench.do(io.Loaded(order.worker, order.function, io.Status.OK, 1_000, 1))
+        for send in only(actions, io.Send):
             sends += 1
             bench.answer(send)
     assert sends == 40 and 4 <= orders <= 5
 
 
-def test_alone_a_router_orders_first() -> None:
-    done = Bench(replace(PLAIN, routers=1, may_load=True), ("a",)).call("f")
-    assert only(done, io.Load) and not only(done, io.Send)
+def test_a_single_router_orders_a_copy_before_it_sends() -> None:
+    actions = Bench(replace(PLAIN, routers=1, may_load=True), ("a",)).call("f")
+    assert only(actions, io.Load) and not only(actions, io.Send)
 
 
 def test_a_gap_in_our_own_clock_tells_nothing_of_the_workers() -> None:
     bench = Bench(workers=("a",))
     (first,) = only(bench.call(), io.Send)
-    pace, cap = bench.router.workers["a"].relative_latency, bench.router.workers["a"].concurrency_limit
+    latency, limit = bench.router.workers["a"].relative_latency, bench.router.workers["a"].concurrency_limit
     bench.now += 2_000_000
-    late = tuple(io.Timer(token) for at, token in sorted(bench.due) if at <= bench.now)
-    bench.due = [d for d in bench.due if d[0] > bench.now]
+    late_timers = tuple(io.Timer(token) for at, token in sorted(bench.due) if at <= bench.now)
+    bench.due = [timer for timer in bench.due if timer[0] > bench.now]
     ok = io.Outcome(first.id, 0, "a", Status.OK, 2_000_000, True, 0, ())
-    bench.do(*late, ok)
+    bench.do(*late_timers, ok)
     assert (bench.router.workers["a"].relative_latency, bench.router.workers["a"].concurrency_limit) == (
-        pace,
-        cap,
+        latency,
+        limit,
     )
     assert only(bench.call("g"), io.Send)
 
 
 @pytest.mark.parametrize("note", [2, 3])
-def test_a_new_version_of_a_warm_copy_that_had_to_load_makes_nobody_slow(note: int) -> None:
+def test_a_warm_copy_that_had_to_load_a_new_version_does_not_count_as_slow(note: int) -> None:
     bench = Bench(workers=("a",))
     (first,) = only(bench.call(), io.Send)
-    bench.answer(first)  # a copy stands
+    bench.answer(first)  # a copy is loaded
     worker = bench.router.workers["a"]
-    pace, cap = worker.relative_latency, worker.concurrency_limit
+    latency, limit = worker.relative_latency, worker.concurrency_limit
     (send,) = only(bench.call(), io.Send)
-    bench.wait(1_500_000)  # late: for all that is known the worker is slow
-    assert worker.relative_latency > pace and worker.concurrency_limit < cap
+    bench.wait(1_500_000)  # late: the worker counts as slow
+    assert worker.relative_latency > latency and worker.concurrency_limit < limit
     bench.do(io.Outcome(send.id, 0, "a", Status.OK, 1_500_000, True, note, ()))
-    assert worker.relative_latency <= pace and worker.concurrency_limit >= cap
+    assert worker.relative_latency <= latency and worker.concurrency_limit >= limit
 
 
 @pytest.mark.parametrize("warm", [True, False])
 def test_where_a_load_failed_the_next_call_goes_elsewhere_for_a_while(warm: bool) -> None:
-    """A worker whose new version would not load got the next call at once, as a copy was believed there."""
+    """A worker whose new version failed to load got the next call at once, as a copy was assumed there."""
     bench = Bench()
     (send,) = only(bench.call(), io.Send)
     failed = send.worker
@@ -498,19 +518,19 @@
         (send,) = only(bench.call(), io.Send)
         assert send.worker == failed
     assert not only(bench.do(io.Outcome(send.id, 0, failed, Status.ERROR, 50_000, False, 4, ())), io.Send)
-    (again,) = only(bench.wait(2 * RECHECK_US), io.Send)  # held for a look, then it has a seat more
+    (again,) = only(bench.wait(2 * RECHECK_US), io.Send)  # after a recheck it has one more candidate
     assert again.worker != failed
     bench.answer(again)
     bench.wait(int(bench.router.functions["f"].load_us) + TICK)
-    bench.do(io.Members(io.ListKind.FULL, (entry(failed),)))  # nobody else is left
+    bench.do(io.Members(io.ListKind.FULL, (entry(failed),)))  # no other worker is left
     assert [send.worker for send in only(bench.call(), io.Send)] == [failed]
 
 
 @pytest.mark.parametrize("slow", [150_000, 600_000, 1_100_000])
-def test_the_only_worker_gets_every_call_whatever_its_pace_looks_like(slow: int) -> None:
-    """A draw against the median of one second ago kept calls from the only worker until they were refused.
+def test_the_only_worker_gets_every_call_whatever_its_relative_latency(slow: int) -> None:
+    """The only worker counted as slow against a median of a second ago, and calls queued until refused.
 
-    Seen as 'refused' for 'served' in a handover's test, whose pause makes one answer late.
+    Seen as 'refused' for 'served' in a test of the handover, whose pause makes one answer late.
     """
     for position in range(20):
         bench = Bench(replace(PLAIN, position=position, second_copies=False), ("a",))
@@ -541,31 +561,32 @@
 
 
 def test_a_call_is_given_up_at_once_when_it_cannot_be_placed_in_time_and_waits_no_longer() -> None:
-    """The usual time is 0.2 of 0.8 s at first, so a held call has 0.6 s."""
+    """The expected latency is 0.2 s of the target of 0.8 s at first, so a queued call has 0.6 s."""
     bench = Bench(workers=("a",))
     bench.call(lanes=1)
     assert bench.call(lanes=1) == []
     assert only(bench.wait(590_000), io.Refuse) == []
     assert [answer.id for answer in only(bench.wait(120_000), io.Refuse)] == ["r2"]
-    assert only(bench.wait(2_000_000), io.Refuse) == []  # r1 is out: an outcome or its deadline ends it
+    assert only(bench.wait(2_000_000), io.Refuse) == []  # r1 is in flight until an outcome or its deadline
 
 
 def test_an_attempt_overtaken_by_later_ones_teaches_nothing_of_its_worker() -> None:
-    # One answer in seven never came: each counted as slow, caps fell to 1 and lost attempts filled them.
+    # One answer in seven was lost: each counted as slow, and limits fell to 1, which lost attempts used up.
     bench = Bench(replace(PLAIN, second_copies=False), workers=("a",))
     (first,) = only(bench.call("f"), io.Send)
-    bench.answer(first)  # a copy stands: the next is no cold one, of which nothing is learnt anyway
+    bench.answer(first)  # a copy is loaded: nothing is learnt from the latency of cold attempts
     (lost,) = only(bench.call("f"), io.Send)
-    worker, usual, cancelled = bench.router.workers["a"], bench.router.expected_latency["safe"], []
-    for _ in range(30):  # others come and are answered meanwhile, none of them slow
+    worker, expected_us, cancelled = bench.router.workers["a"], bench.router.expected_latency["safe"], []
+    for _ in range(30):  # later calls are answered meanwhile, none of them slow
         sent = only(bench.call("f"), io.Send)
         cancelled += only(bench.wait(50_000), io.Cancel)
         for send in sent:
             bench.answer(send)
         assert (
-            worker.concurrency_limit >= INITIAL_CONCURRENCY and bench.router.expected_latency["safe"] <= usual
+            worker.concurrency_limit >= INITIAL_CONCURRENCY
+            and bench.router.expected_latency["safe"] <= expected_us
         )
-        usual = bench.router.expected_latency["safe"]
+        expected_us = bench.router.expected_latency["safe"]
         if cancelled:
             break
     assert [(act.id, act.attempt) for act in cancelled] == [(lost.id, 0)]
@@ -573,18 +594,18 @@
 
 @pytest.mark.parametrize("warm", [False, True])
 def test_a_call_held_for_half_its_time_is_answered_then_where_no_copy_stands(warm: bool) -> None:
-    # Refused later, with nothing sent, it costs the operators a part of its worth on top.
+    # A refusal in the second half, with nothing sent, costs the operators a share of the worth on top.
     bench = Bench(replace(PLAIN, may_load=True), workers=("a",))
     bench.call("f", left=600_000, lanes=1)  # orders a copy
     (order,) = only(bench.all, io.Load)
-    if warm:  # a copy stands but its lane is taken: it may come free
+    if warm:  # a copy is loaded and its lane is taken, but may become free
         sent = bench.do(io.Loaded(order.worker, "f", Status.OK, 10_000, 1))
         assert only(sent, io.Send)
         bench.call("f", left=600_000, lanes=1)
     early = bench.wait(290_000)
     assert not only(early, io.Refuse)
-    done = bench.wait(20_000)
-    assert [refused.id for refused in only(done, io.Refuse)] == ([] if warm else ["r1"])
+    later = bench.wait(20_000)
+    assert [refused.id for refused in only(later, io.Refuse)] == ([] if warm else ["r1"])
 
 
 def test_a_slow_fleet_gives_up_held_calls_sooner_and_once_sent_lets_them_run() -> None:
@@ -601,22 +622,25 @@
 
 
 @pytest.mark.parametrize(
-    "most, slow, told", [(2_000_000, 0, TICK), (300_000, 30, 300_000), (TICK // 2, 0, TICK // 2)]
+    "max_us, slow_answers, expected_us",
+    [(2_000_000, 0, TICK), (300_000, 30, 300_000), (TICK // 2, 0, TICK // 2)],
 )
-def test_a_refusal_tells_when_to_come_back_within_the_told_most(most: int, slow: int, told: int) -> None:
-    for allowed, wait in ((True, told), (False, 0)):
-        bench = Bench(replace(PLAIN, retry_after=allowed, max_retry_after_us=most), workers=("a",))
-        for _ in range(slow):
+def test_a_refusal_carries_a_retry_delay_within_the_configured_maximum(
+    max_us: int, slow_answers: int, expected_us: int
+) -> None:
+    for allowed, delay_us in ((True, expected_us), (False, 0)):
+        bench = Bench(replace(PLAIN, retry_after=allowed, max_retry_after_us=max_us), workers=("a",))
+        for _ in range(slow_answers):
             for send in only(bench.call() + bench.wait(1_500_000), io.Send):
                 bench.answer(send, us=1_500_000)
         bench.do(io.Members(io.ListKind.FULL, ()))
         bench.call()
-        assert only(bench.wait(790_000), io.Refuse)[-1].retry_after_us == wait
+        assert only(bench.wait(790_000), io.Refuse)[-1].retry_after_us == delay_us
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.MISS])
 def test_attempts_after_full_spend_the_retry_budget_and_a_miss_with_orders_does_not(status: Status) -> None:
-    """A fleet that turns all away: each pass took work and began a load, five attempts a call."""
+    """Where all workers reject calls, each of five attempts per call took work and began a load."""
     bench = Bench(ORDERS, tuple(f"w{number}" for number in range(30)))
     bench.router.retry_tokens.tokens = 0.0
     bench.call()
@@ -627,7 +651,7 @@
 
 
 def test_a_fleet_slow_as_a_whole_serves_first_tries_before_repeats() -> None:
-    """Issue 11: repeats, whose time began with an earlier try, took the room of calls still in time."""
+    """Issue 11: repeats, whose target counts from an earlier try, took the room of calls still in time."""
     bench = Bench()
     assert only(bench.call(repeated=True), io.Send)
     for _ in range(30):
@@ -646,34 +670,34 @@
 
 
 def test_work_for_an_event_does_not_grow_with_workers_times_functions() -> None:
-    """Counted looks at workers: 100 workers, 200 functions held, one more call."""
+    """Counts checks of workers: 100 workers, queued calls of 200 functions, and one more call."""
     bench = Bench(ORDERS, tuple(f"w{number}" for number in range(100)))
     for number in range(200):
         bench.call(f"f{number}")
-    looks, fit = [], bench.router._may_have_room
-    bench.router._may_have_room = lambda call, worker: (looks.append(worker), fit(call, worker))[1]
+    checked, has_room = [], bench.router._may_have_room
+    bench.router._may_have_room = lambda call, worker: (checked.append(worker), has_room(call, worker))[1]
     bench.call("one more")
-    assert 0 < len(looks) < 40
+    assert 0 < len(checked) < 40
 
 
 def test_a_call_that_ended_is_freed_without_the_cyclic_collector() -> None:
-    """Thousands of them a minute made full collections long, and answers late."""
+    """Thousands of ended calls a minute made full garbage collections long, and answers late."""
     bench = Bench()
-    with left_to_the_collector(rs.Call) as left:
+    with cyclic_garbage(rs.Call) as garbage:
         for _ in range(5):
             (send,) = only(bench.call(), io.Send)
             bench.answer(send)
-        bench.wait(4_000_000)  # until the timers that know the calls have come due
-    assert not left
+        bench.wait(4_000_000)  # until the timers that refer to the calls have expired
+    assert not garbage
 
 
 SLOW_START_S, SPAN_S, COLD_SHARE = 16.0, 3.0, 0.2
 
 
 def allowed(capacity: float, at_s: float) -> float:
-    """What a starting worker bears in the span that ends then, by the operators' terms of 2026-12-02."""
-    present = COLD_SHARE + (1 - COLD_SHARE) * max(0.0, at_s - SPAN_S) / SLOW_START_S
-    requests = 2.0 * present * capacity * SPAN_S
+    """Requests that a cold worker bears in the span that ends at `at_s`: operators' rules of 2026-12-02."""
+    present_share = COLD_SHARE + (1 - COLD_SHARE) * max(0.0, at_s - SPAN_S) / SLOW_START_S
+    requests = 2.0 * present_share * capacity * SPAN_S
     if requests < 30:
         return requests + 3 * math.sqrt(requests) + 3
     return requests + 2 * math.sqrt(requests) + 2
@@ -683,7 +707,7 @@
     "routers, capacity", [(1, 40.0), (3, 40.0), (30, 40.0), (200, 40.0), (1, 8.0), (3, 8.0), (30, 8.0)]
 )
 def test_the_sum_of_all_routers_keeps_the_budget_of_a_starting_worker(routers: int, capacity: float) -> None:
-    """Ten workers, nine warm; together the routers offer what ten can do, to functions without a home yet."""
+    """Nine of ten workers are warm; the routers offer what ten can do, to functions without copies yet."""
     settings = replace(
         PLAIN, routers=routers, fall_us=int(SPAN_S * 1e6), fall_multiple=2.0, cold_share=COLD_SHARE,
         cold_us=int(SLOW_START_S * 1e6),
@@ -692,19 +716,19 @@
     for position in range(routers):
         cold = entry("cold", started=1_000_000)
         bench = Bench(replace(settings, position=position), (cold, *(entry(f"w{n}") for n in range(9))))
-        began, waiting = bench.now, []
+        started_at, waiting = bench.now, []
         bench.wait(gap_us * position // routers)
-        while bench.now - began < 5_000_000:
-            for due, send in [one for one in waiting if one[0] <= bench.now]:
+        while bench.now - started_at < 5_000_000:
+            for due, send in [item for item in waiting if item[0] <= bench.now]:
                 bench.answer(send, us=100_000)
                 waiting.remove((due, send))
             for send in only(bench.call(f"f{bench.count % 40}"), io.Send):
                 waiting.append((bench.now + 100_000, send))
                 if send.worker == "cold":
-                    sent_s.append((bench.now - began) / 1e6)
+                    sent_s.append((bench.now - started_at) / 1e6)
             bench.wait(gap_us)
     sent_s.sort()
     for first, at_s in enumerate(sent_s):
         within = sum(1 for other in sent_s[first:] if other < at_s + SPAN_S)
         assert within <= allowed(capacity, at_s + SPAN_S), (at_s, within)
-    assert sent_s or capacity * SPAN_S < 30, "never tried: the test shows nothing"
+    assert sent_s or capacity * SPAN_S < 30, "the cold worker got no calls: the test shows nothing"
--- a/tests/test_connection_floods.py
+++ b/tests/test_connection_floods.py
@@ -5,7 +5,7 @@
 import resource
 import socket
 
-from helpers import left_to_the_collector
+from helpers import cyclic_garbage
 from platformbench import (
     FIRST_BYTES,
     HOST,
@@ -243,7 +243,7 @@
             Journal(says_nothing) as service,
             router(tmp_path, [worker.port], journal=service.port) as node,
         ):
-            with left_to_the_collector((fc.Connection, IOStream)) as left:
+            with cyclic_garbage((fc.Connection, IOStream)) as left:
                 for _ in range(5):
                     (sock,) = connect(node.port, 1)
                     await until(lambda: len(node.front) == 1)
