--- a/swiftwell/placement.py
+++ b/swiftwell/placement.py
@@ -17,9 +17,8 @@
 # share of the functions, within a tenth.
 MIN_RANKED = 128
 MAX_SINGLE_CHANGES = 64  # changes that are applied one by one; more are sorted in at once, as a whole list is
-RANKED_PER_REQUESTED = (
-    2  # workers ranked for each one requested: longer results begin with nearly the same ones
-)
+# Workers ranked for each one requested, so that a longer result begins with nearly the same workers.
+RANKED_PER_REQUESTED = 2
 
 
 class Ring:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in README.md runs as printed."""
 
 import re
 import subprocess
@@ -11,8 +11,8 @@
 def test_the_example_prints_what_the_readme_says() -> None:
     text = (ROOT / "README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.DOTALL)
-    said = re.search(r"It prints `(.*?)`", text)
-    done = subprocess.run(
+    printed = re.search(r"It prints `(.*?)`", text)
+    result = subprocess.run(
         [sys.executable, "-c", code[1]], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert done.stdout.strip() == said[1]
+    assert result.stdout.strip() == printed[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, checked on the actions for legal but odd event sequences under varied settings."""
+"""The five rules, checked on the actions for legal but unusual event sequences under varied settings."""
 
 from dataclasses import replace
 
@@ -23,7 +23,7 @@
         (Effect.SAFE, "all", True),
     ]
 )
-TOLD = st.builds(
+SETTINGS = st.builds(
     replace,
     st.just(replace(PLAIN, classes=REQUEST_CLASSES, load_free=2.0, load_share=0.2)),
     tenants=st.sampled_from([(), (io.Tenant("t", 0.5, 1.0),)]),
@@ -41,49 +41,50 @@
     idle_life_us=st.sampled_from([0, 500_000, 8_000_000]),
     kind_memory_mb=st.sampled_from([(), (("k", 0.0),), (("k", 250.0),), (("k", 9_000.0),)]),
 )
+# Kind of step, two numbers that select its details, and its duration in ticks.
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 1_000), st.integers(0, 1_000), st.integers(0, 300))
 
 
 class Checker:
-    """Plays steps to a router and checks each action as the operators would."""
+    """Runs steps on a router and checks each action against the rules."""
 
-    def __init__(self, told: io.Settings) -> None:
-        self.told = told
-        self.open: dict[str, io.Request] = {}
-        self.begun: dict[str, int] = {}
+    def __init__(self, router_settings: io.Settings) -> None:
+        self.settings = router_settings
+        self.open: dict[str, io.Request] = {}  # requests without a final answer
+        self.arrived_at: dict[str, int] = {}
         self.sends: dict[str, list[dict]] = {}
-        self.orders: list[int] = []
-        self.taken: list[int] = []
-        self.asked: list[io.Load] = []
+        self.orders: list[int] = []  # times of load orders
+        self.arrivals: list[int] = []  # times of requests
+        self.unanswered: list[io.Load] = []  # load orders and queries
         self.entries = {name: entry(name, cell=i // 2) for i, name in enumerate(NAMES)}
-        self.bench = Bench(told, tuple(self.entries.values()))
-        self.seen = 0
+        self.bench = Bench(router_settings, tuple(self.entries.values()))
+        self.checked = 0  # actions checked so far
         self.check()
 
-    def group(self, request_class: io.RequestClass, name: str) -> object:
-        known = self.entries[name]
-        return {"all": 0, "zone": known.zone, "cell": known.cell}[request_class.scope]
+    def repeat_group(self, request_class: io.RequestClass, name: str) -> object:
+        listed = self.entries[name]
+        return {"all": 0, "zone": listed.zone, "cell": listed.cell}[request_class.scope]
 
     def check(self) -> None:
-        now, fresh = self.bench.now, self.bench.all[self.seen :]
-        self.seen = len(self.bench.all)
-        for act in fresh:
-            match act:
+        now, actions = self.bench.now, self.bench.all[self.checked :]
+        self.checked = len(self.bench.all)
+        for action in actions:
+            match action:
                 case io.Send():
-                    self.check_send(act, now)
-                case io.Refuse() | io.Fail() if act.id in self.open:
-                    self.check_end(act, now)
+                    self.check_send(action, now)
+                case io.Refuse() | io.Fail() if action.id in self.open:
+                    self.check_end(action, now)
                 case io.Refuse() | io.Fail():
                     raise AssertionError("a second final answer")
                 case io.Load():
-                    self.check_load(act, now)
+                    self.check_load(action, now)
                 case io.Cancel():
-                    assert self.told.may_cancel and act.attempt < len(self.sends[act.id])
+                    assert self.settings.may_cancel and action.attempt < len(self.sends[action.id])
         for name, request in self.open.items():
-            assert now <= self.begun[name] + max(request.left_us, TICK) or self.streams(name)
+            assert now <= self.arrived_at[name] + max(request.left_us, TICK) or self.is_streaming(name)
 
-    def streams(self, name: str) -> bool:
-        return any(send["streams"] for send in self.sends[name])
+    def is_streaming(self, name: str) -> bool:
+        return any(send["streaming"] for send in self.sends[name])
 
     def request_class(self, name: str) -> io.RequestClass:
         return next(
@@ -92,42 +93,52 @@
             if request_class.name == self.open[name].request_class
         )
 
-    def check_send(self, act: io.Send, now: int) -> None:
-        assert act.id in self.open
-        assert self.entries[act.worker].state is State.READY
-        request_class, before = self.request_class(act.id), self.sends[act.id]
-        assert len(before) < self.told.max_attempts
-        assert self.told.second_copies or not any(send["out"] for send in before)
-        risky = [send for send in before if send["out"] or send["ran"]]
+    def check_send(self, action: io.Send, now: int) -> None:
+        assert action.id in self.open
+        assert self.entries[action.worker].state is State.READY
+        request_class, before = self.request_class(action.id), self.sends[action.id]
+        assert len(before) < self.settings.max_attempts
+        assert self.settings.second_copies or not any(send["in_flight"] for send in before)
+        binding = [send for send in before if send["in_flight"] or send["may_have_run"]]
         if request_class.effect is Effect.UNSAFE:
-            assert not risky
-        if request_class.effect is Effect.KEYED and risky:
-            assert self.group(request_class, act.worker) == self.group(request_class, risky[0]["worker"])
-            assert now < risky[0]["at"] + request_class.memory_us
-        before.append({"worker": act.worker, "at": now, "out": True, "ran": False, "streams": False})
-
-    def check_end(self, act: io.Refuse | io.Fail, now: int) -> None:
-        request_class = self.request_class(act.id)
-        risky = any(send["out"] or send["ran"] for send in self.sends[act.id])
-        if isinstance(act, io.Refuse) and risky:
+            assert not binding
+        if request_class.effect is Effect.KEYED and binding:
+            assert self.repeat_group(request_class, action.worker) == self.repeat_group(
+                request_class, binding[0]["worker"]
+            )
+            assert now < binding[0]["sent_at"] + request_class.memory_us
+        before.append(
+            {
+                "worker": action.worker,
+                "sent_at": now,
+                "in_flight": True,
+                "may_have_run": False,
+                "streaming": False,
+            }
+        )
+
+    def check_end(self, action: io.Refuse | io.Fail, now: int) -> None:
+        request_class = self.request_class(action.id)
+        binding = any(send["in_flight"] or send["may_have_run"] for send in self.sends[action.id])
+        if isinstance(action, io.Refuse) and binding:
             assert request_class.effect is Effect.SAFE or (
                 request_class.effect is Effect.KEYED and request_class.scope == "all"
             )
-        del self.open[act.id]
+        del self.open[action.id]
 
-    def check_load(self, act: io.Load, now: int) -> None:
-        assert self.told.may_load
-        self.asked.append(act)
-        if act.copies:
-            assert self.entries[act.worker].state is State.READY
+    def check_load(self, action: io.Load, now: int) -> None:
+        assert self.settings.may_load
+        self.unanswered.append(action)
+        if action.copies:
+            assert self.entries[action.worker].state is State.READY
             self.orders.append(now)
-            window = self.told.load_window_us
+            window = self.settings.load_window_us
             if window:
                 orders = sum(1 for at in self.orders if at >= now - window)
-                calls = sum(1 for at in self.taken if at > now - window)
-                assert orders <= self.told.load_free + self.told.load_share * calls
+                calls = sum(1 for at in self.arrivals if at > now - window)
+                assert orders <= self.settings.load_free + self.settings.load_share * calls
 
-    def step(self, kind: int, x: int, y: int, ms: int) -> None:
+    def step(self, kind: int, x: int, y: int, ticks: int) -> None:
         bench = self.bench
         if kind <= 2:
             name, request_class = f"r{bench.count + 1}", REQUEST_CLASSES[x % len(REQUEST_CLASSES)]
@@ -136,15 +147,15 @@
                 name, request_class.name, "t", f"f{y % 3}", left, 0, 100.0 * (1 + y % 4), 1 + x % 3, 0, False
             )
             bench.count += 1
-            self.open[name], self.begun[name], self.sends[name] = request, bench.now, []
-            self.taken.append(bench.now)
+            self.open[name], self.arrived_at[name], self.sends[name] = request, bench.now, []
+            self.arrivals.append(bench.now)
             bench.do(request)
         elif kind <= 5:
             self.outcome(x, y)
         elif kind == 6:
             self.members(x, y)
-        elif kind == 7 and self.asked:
-            load = self.asked.pop(x % len(self.asked))
+        elif kind == 7 and self.unanswered:
+            load = self.unanswered.pop(x % len(self.unanswered))
             status = (Status.OK, Status.OK, Status.FULL, Status.ERROR, Status.RESET, Status.TIMEOUT)[y % 6]
             copies = max(load.copies, y % 3) if status is Status.OK else 0
             bench.do(io.Loaded(load.worker, load.function, status, y * 1_000, copies))
@@ -153,30 +164,35 @@
             del self.open[name]
             bench.do(io.Left(name), io.Left(name), io.Timer(10_000_000), io.Peer(1, b"x"))
         else:
-            for _ in range(ms):
+            for _ in range(ticks):
                 bench.wait(TICK)
                 self.check()
         self.check()
 
     def outcome(self, x: int, y: int) -> None:
-        out = [(name, i) for name, sends in self.sends.items() for i, send in enumerate(sends) if send["out"]]
-        if not out:
+        in_flight = [
+            (name, i)
+            for name, sends in self.sends.items()
+            for i, send in enumerate(sends)
+            if send["in_flight"]
+        ]
+        if not in_flight:
             return
-        name, number = out[x % len(out)]
+        name, number = in_flight[x % len(in_flight)]
         send = self.sends[name][number]
         request_class = (
-            next(b for b in REQUEST_CLASSES if b.streamed)
+            next(known for known in REQUEST_CLASSES if known.streamed)
             if name in self.open and self.request_class(name).streamed
             else None
         )
-        if request_class and y % 3 == 0 and not send["streams"]:
-            send["streams"] = True
+        if request_class and y % 3 == 0 and not send["streaming"]:
+            send["streaming"] = True
             self.bench.do(io.First(name, number, send["worker"]))
             return
-        statuses = list(Status) if not send["streams"] else [Status.OK, Status.RESET]
+        statuses = list(Status) if not send["streaming"] else [Status.OK, Status.RESET]
         status = statuses[y % len(statuses)]
-        send["out"], send["ran"] = False, status not in io.NEVER_RAN
-        closed = status is Status.OK or send["streams"] or name not in self.open
+        send["in_flight"], send["may_have_run"] = False, status not in io.NEVER_RAN
+        closed = status is Status.OK or send["streaming"] or name not in self.open
         if closed:
             self.open.pop(name, None)
         self.bench.do(
@@ -186,18 +202,18 @@
     def members(self, x: int, y: int) -> None:
         name = NAMES[x % len(NAMES)]
         state = (State.READY, State.READY, State.DRAINING, State.GONE)[y % 4]
-        how = (io.ListKind.DELTA, io.ListKind.FULL, io.ListKind.CACHED, io.ListKind.FAILED)[x % 4]
-        if how is io.ListKind.FAILED:
-            self.bench.do(io.Members(how, ()))
+        kind = (io.ListKind.DELTA, io.ListKind.FULL, io.ListKind.CACHED, io.ListKind.FAILED)[x % 4]
+        if kind is io.ListKind.FAILED:
+            self.bench.do(io.Members(kind, ()))
             return
-        fresh = replace(self.entries[name], state=state, started_us=self.bench.now if y % 3 else 0)
-        self.entries[name] = fresh
-        if how is not io.ListKind.DELTA:
+        changed = replace(self.entries[name], state=state, started_us=self.bench.now if y % 3 else 0)
+        self.entries[name] = changed
+        if kind is not io.ListKind.DELTA:
             for other in NAMES:
                 if other != name and (ord(other) + y) % 3 == 0:
                     self.entries[other] = replace(self.entries[other], state=State.GONE)
-        listed = [e for e in self.entries.values() if e.state is not State.GONE]
-        self.bench.do(io.Members(how, (fresh,) if how is io.ListKind.DELTA else tuple(listed)))
+        listed = [known for known in self.entries.values() if known.state is not State.GONE]
+        self.bench.do(io.Members(kind, (changed,) if kind is io.ListKind.DELTA else tuple(listed)))
 
 
 @settings(
@@ -207,11 +223,11 @@
     max_examples=120,
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
-@given(told=TOLD, steps=st.lists(STEP, min_size=5, max_size=60))
-def test_the_rules_hold_for_any_legal_sequence(told: io.Settings, steps: list) -> None:
-    checker = Checker(told)
+@given(router_settings=SETTINGS, steps=st.lists(STEP, min_size=5, max_size=60))
+def test_the_rules_hold_for_any_legal_sequence(router_settings: io.Settings, steps: list) -> None:
+    checker = Checker(router_settings)
     for step in steps:
         checker.step(*step)
-    while checker.open and not all(checker.streams(name) for name in checker.open):
+    while checker.open and not all(checker.is_streaming(name) for name in checker.open):
         checker.bench.wait(TICK)
         checker.check()
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter through the deploy file's command, as the operators start it."""
+"""The simulator's host, started by the commands of the deploy file as the operators start it."""
 
 import subprocess
 import tomllib
@@ -17,7 +17,7 @@
 CALL = "DEMAND id=r-1 band=c handler=fn/a grace-ms=900.0 mem-mb=10 width=1 unheard=1"
 
 
-def play(text: str) -> subprocess.CompletedProcess[str]:
+def run(text: str) -> subprocess.CompletedProcess[str]:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=ROOT, check=True, capture_output=True)
     return subprocess.run(
@@ -26,32 +26,32 @@
 
 
 def test_empty_batch_is_answered_with_ok() -> None:
-    done = play("BATCH clock-ms=8412.25\nFLUSH\n\n")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "OK\n", "")
+    result = run("BATCH clock-ms=8412.25\nFLUSH\n\n")
+    assert (result.returncode, result.stdout, result.stderr) == (0, "OK\n", "")
 
 
-def test_a_call_is_passed_on_and_its_answer_taken() -> None:
-    more = f"BATCH clock-ms=1002.0\nSWITCH_TO router-id=3\n{CALL}\nFLUSH\n"
+def test_a_call_is_sent_on_and_its_answer_accepted() -> None:
+    call = f"BATCH clock-ms=1002.0\nSWITCH_TO router-id=3\n{CALL}\nFLUSH\n"
     answer = "ANSWER id=r-1 n=0 worker=10.0.0.1:5000 how=0 cost-time-ms=18.5 over=1\nLEFT id=r-1"
     end = f"BATCH clock-ms=1022.0\nSWITCH_TO router-id=3\n{answer}\nFLUSH\n"
-    done = play(START + more + end)
-    replies = done.stdout.split("OK\n")
-    assert done.returncode == 0
+    result = run(START + call + end)
+    replies = result.stdout.split("OK\n")
+    assert result.returncode == 0
     assert "PASS_ON id=r-1 worker=10.0.0.1:5000 not-past-ms=1902.0" in replies[1]
     assert replies[1].startswith("AT router-id=3\n")
     assert "r-1" not in replies[2]
 
 
-def test_a_restarted_router_knows_nothing_and_says_nothing_old() -> None:
+def test_a_restarted_router_has_no_state_and_returns_no_earlier_actions() -> None:
     stop = f"BATCH clock-ms=1002.0\nSWITCH_TO router-id=3\n{CALL}\nSTOP\nFLUSH\n"
-    again = f"BATCH clock-ms=1004.0\nSWITCH_TO router-id=3\n{BEGIN}\nFLUSH\n"
-    done = play(START + stop + again)
-    assert done.returncode == 0
-    assert "PASS_ON" not in done.stdout
+    restart = f"BATCH clock-ms=1004.0\nSWITCH_TO router-id=3\n{BEGIN}\nFLUSH\n"
+    result = run(START + stop + restart)
+    assert result.returncode == 0
+    assert "PASS_ON" not in result.stdout
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "message"),
     [
         ("HELLO\n", "BATCH"),
         ("BATCH clock-ms=soon\nFLUSH\n", "clock-ms"),
@@ -64,15 +64,15 @@
         ("BATCH clock-ms=1\nSWITCH_TO router-id=3\nUPDATE epoch=1 how=delta sheet=9\nFLUSH\n", "9"),
     ],
 )
-def test_malformed_input_gets_one_message_and_a_non_zero_exit(text: str, word: str) -> None:
-    done = play(text)
-    assert done.returncode != 0
-    assert word in done.stderr and "line " in done.stderr and len(done.stderr.splitlines()) == 1
-    assert done.stdout == "" or done.stdout.endswith("OK\n")
+def test_malformed_input_gets_one_message_and_a_non_zero_exit(text: str, message: str) -> None:
+    result = run(text)
+    assert result.returncode != 0
+    assert message in result.stderr and "line " in result.stderr and len(result.stderr.splitlines()) == 1
+    assert result.stdout == "" or result.stdout.endswith("OK\n")
 
 
-def test_an_exception_of_the_module_is_told_on_the_wire() -> None:
+def test_an_exception_of_the_module_is_reported_on_the_wire() -> None:
     call = CALL.replace("band=c", "band=unheard")
-    done = play(START + f"BATCH clock-ms=1002.0\nSWITCH_TO router-id=3\n{call}\nFLUSH\n")
-    assert done.returncode == 0
-    assert done.stdout.split("OK\n")[1].startswith("AT router-id=3\nBROKEN text=KeyError")
+    result = run(START + f"BATCH clock-ms=1002.0\nSWITCH_TO router-id=3\n{call}\nFLUSH\n")
+    assert result.returncode == 0
+    assert result.stdout.split("OK\n")[1].startswith("AT router-id=3\nBROKEN text=KeyError")
