--- a/tests/test_worker_leases.py
+++ b/tests/test_worker_leases.py
@@ -315,7 +315,7 @@
         bench.leases.record_accepted(worker, bench.now)
     elif status is Status.FULL:
         bench.leases.record_draining(worker)
-    return bench.do(io.Loaded(worker, "f", status, 1_000, copies, asked=True))
+    return bench.do(io.Loaded(worker, "f", status, 1_000, copies, is_query=True))
 
 
 def test_a_worker_without_a_lease_is_queried_once_for_all_calls_that_wait():
