--- a/swiftwell/choice.py
+++ b/swiftwell/choice.py
@@ -83,7 +83,7 @@
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
         """Decide on a batch of events that have arrived by `now`."""
         self.now, self.actions = now, []
-        self.list_is_current = self.leases is None or self.leases.list_serves(now)
+        self.list_is_current = self.leases is None or self.leases.list_suffices(now)
         if not self.seq:
             self.started_at = now
             self._schedule(SWEEP_US, self._sweep)
@@ -340,7 +340,7 @@
 
     def _known_to_serve(self, worker: rs.Worker) -> bool:
         """Whether a worker is known not to drain: by the list, or by its answers while that may be stale."""
-        return self.list_is_current or self.leases.serves(worker.entry.worker, self.now)
+        return self.list_is_current or self.leases.may_send(worker.entry.worker, self.now)
 
     def _any_known_to_serve(self) -> bool:
         return self.list_is_current or any(map(self._known_to_serve, self.ready))
