--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -543,7 +543,7 @@
 
     def _forget_unlisted(self, members: io.Members) -> None:
         """With the first full list, forget the workers of a restored state that are no longer listed."""
-        if self._unconfirmed_workers and members.how is io.ListKind.FULL:
+        if self._unconfirmed_workers and members.kind is io.ListKind.FULL:
             gone = self._unconfirmed_workers - self.roster.known.keys()
             entries = tuple(replace(self.router.workers[w].entry, state=io.State.GONE) for w in sorted(gone))
             self._events.append(io.Members(io.ListKind.DELTA, entries))
@@ -599,7 +599,7 @@
 
     def _hide_workers(self, members: io.Members) -> io.Members:
         """Present hidden ready workers as draining: what runs there ends, and nothing new is sent there."""
-        if not self._visible_workers or members.how is io.ListKind.FAILED:
+        if not self._visible_workers or members.kind is io.ListKind.FAILED:
             return members
         entries = tuple(
             replace(entry, state=io.State.DRAINING)
@@ -743,7 +743,7 @@
             case io.Load():
                 self._order_load(action)
             case io.Watch():
-                self._outputs.append(ports.AskList(action.on))
+                self._outputs.append(ports.AskList(action.enabled))
             case io.Log():
                 self._log("info", "module", text=action.text)
 
@@ -759,7 +759,7 @@
         number = len(call.attempts)
         if number:
             self._log("info", "retry", request=call.trigger.key, number=number, worker=send.worker)
-        deadline_us = min(send.until_us or call.deadline_us, call.deadline_us)
+        deadline_us = min(send.deadline_us or call.deadline_us, call.deadline_us)
         attempt, send_before_us = (
             Attempt(send.worker, deadline_us=deadline_us, sent_us=self._now_us),
             call.send_before_us(),
@@ -802,7 +802,9 @@
                 self._log("error", "refusal-withheld", call=call.id)
             answer = self._may_have_run_answer(call)
         else:
-            answer = Answer(Kind.REFUSED, tr.NOT_RUN, wait_us=action.wait_us, attempts=len(call.attempts))
+            answer = Answer(
+                Kind.REFUSED, tr.NOT_RUN, wait_us=action.retry_after_us, attempts=len(call.attempts)
+            )
         self._settle(call, answer)
         self._drop_if_ended(call)
 
