--- a/swiftwell/cli/call.py
+++ b/swiftwell/cli/call.py
@@ -156,7 +156,7 @@
     )  # fmt: skip
     try:
         await client.connect(host, port)
-        reply = await client.reply_queue("")
+        reply = await client.declare_reply_queue("")
     except (amqp_client.Refused, OSError, TimeoutError) as error:
         return {"status": "no connection", "reason": str(error), "code": 1}
     properties = amqp_client.trigger(key, reply, key, timeout_ms)
--- a/swiftwell/fronts/amqp/__init__.py
+++ b/swiftwell/fronts/amqp/__init__.py
@@ -1,1 +1,1 @@
-"""AMQP 0-9-1: the second front."""
+"""The AMQP 0-9-1 front: consumes triggers from the queues of brokers."""
--- a/swiftwell/fronts/amqp/codec.py
+++ b/swiftwell/fronts/amqp/codec.py
@@ -1,14 +1,14 @@
-"""AMQP 0-9-1 frames, methods, field tables and content headers to and from bytes.  No I/O, no state but a
-decoder's buffer.
+"""Encodes and decodes AMQP 0-9-1 frames, methods, field tables and content headers.
 
-Written from the public 0-9-1 specification (sections named in comments are its own) and the published
-extensions that today's brokers speak: publisher confirms, `basic.nack`, `connection.blocked`,
-`connection.update-secret`, exchange bindings, and the field types as they are used in practice (the
-specification's table of types contradicts its grammar).
+No I/O; the only state is a decoder's buffer.
 
-Every length is checked before anything of it is kept; nesting and counts are bounded.  What is wrong raises
-`AmqpError` with the reply code that the connection or channel should end with; nothing else is ever raised by
-`Decoder`.
+Implements the public 0-9-1 specification (the sections in comments refer to it) and the published extensions
+of current brokers: publisher confirms, `basic.nack`, `connection.blocked`, `connection.update-secret`,
+exchange bindings, and the field types as they are used in practice (the specification's table of types
+contradicts its grammar).
+
+Every length is checked before data is kept; nesting and counts are bounded.  Invalid input raises `AmqpError`
+with the reply code that should end the connection or channel.  `Decoder` raises no other exception.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from functools import lru_cache
 from typing import Any, ClassVar, TypeVar
 
-GREETING = b"AMQP\x00\x00\x09\x01"
-FRAME_MIN = 4_096  # bytes that every peer must take (4.2.3)
-FRAME_EXTRA = 8  # bytes of a frame around its payload
+PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
+FRAME_MIN = 4_096  # frame size in bytes that every peer must accept (4.2.3)
+FRAME_EXTRA = 8  # bytes of a frame besides its payload
 FRAME_END = 0xCE
-MOST_DEPTH = 16  # tables and arrays within each other
-MOST_FIELDS = 1_024  # fields of one table or array
+MAX_DEPTH = 16  # of nested tables and arrays
+MAX_FIELDS = 1_024  # of one table or array
 METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8
 _KINDS = frozenset((METHOD, HEADER, BODY, HEARTBEAT))
 
@@ -55,27 +55,29 @@
     INTERNAL_ERROR = 541
 
 
-SOFT = frozenset({311, 312, 313, 403, 404, 405, 406})  # end a channel; all others end the connection
+CHANNEL_ERRORS = frozenset(
+    {311, 312, 313, 403, 404, 405, 406}
+)  # end a channel; all others end the connection
 
 
 class AmqpError(Exception):
-    """The peer broke the protocol, or asked for what can't be; `code` ends its channel or connection."""
+    """A protocol violation or an impossible request; `code` ends the channel or connection."""
 
     def __init__(self, code: Code, text: str, method: tuple[int, int] = (0, 0)) -> None:
         super().__init__(text)
         self.code, self.method = code, method
 
     @property
-    def soft(self) -> bool:
-        """Whether it ends the channel only."""
-        return self.code in SOFT
+    def ends_channel_only(self) -> bool:
+        """Whether the error ends only the channel, not the connection."""
+        return self.code in CHANNEL_ERRORS
 
 
 class Timestamp(int):
-    """Seconds since 1970, as a field of its own type."""
+    """Seconds since 1970; a distinct type, as it is encoded as a field type of its own."""
 
 
-# Types of methods' fields, as the specification names them; a method's annotations are its wire format.
+# Field types of methods, named as in the specification.  The annotations of a method are its wire format.
 Octet = ShortInt = LongInt = LongLong = int
 ShortStr = str
 LongStr = bytes
@@ -89,28 +91,28 @@
 _CONTENT = struct.Struct(">HHQH")
 
 
-def _wrong(text: str) -> AmqpError:
+def _syntax_error(text: str) -> AmqpError:
     return AmqpError(Code.SYNTAX_ERROR, text)
 
 
 # Values of field tables (4.2.5.5).
 
 
-def _short(buf: bytes, at: int) -> tuple[str, int]:
+def _read_short_string(buf: bytes, at: int) -> tuple[str, int]:
     end = at + 1 + buf[at]
     if end > len(buf):
-        raise _wrong("a string goes beyond its frame")
+        raise _syntax_error("a string goes beyond its frame")
     try:
         return buf[at + 1 : end].decode(), end
     except UnicodeDecodeError:
-        raise _wrong("a string is not UTF-8") from None
+        raise _syntax_error("a string is not UTF-8") from None
 
 
-def _long(buf: bytes, at: int) -> tuple[bytes, int]:
+def _read_long_string(buf: bytes, at: int) -> tuple[bytes, int]:
     (size,) = _INT32.unpack_from(buf, at)
     end = at + 4 + size
     if end > len(buf):
-        raise _wrong("a string goes beyond its frame")
+        raise _syntax_error("a string goes beyond its frame")
     return buf[at + 4 : end], end
 
 
@@ -121,11 +123,11 @@
 }  # fmt: skip
 
 
-def _value(buf: bytes, at: int, depth: int) -> tuple[Any, int]:
+def _read_value(buf: bytes, at: int, depth: int) -> tuple[Any, int]:
     kind = buf[at]
     at += 1
     if kind == 0x53:  # S
-        raw, at = _long(buf, at)
+        raw, at = _read_long_string(buf, at)
         try:
             return raw.decode(), at
         except UnicodeDecodeError:
@@ -139,69 +141,69 @@
         case "V":
             return None, at
         case "F":
-            return _table(buf, at, depth + 1)
+            return _read_table(buf, at, depth + 1)
         case "A":
-            return _array(buf, at, depth + 1)
+            return _read_array(buf, at, depth + 1)
         case "T":
             return Timestamp(struct.unpack_from(">Q", buf, at)[0]), at + 8
         case "x":
-            return _long(buf, at)
+            return _read_long_string(buf, at)
         case "D":
             scale, value = struct.unpack_from(">Bi", buf, at)
             return Decimal(value).scaleb(-scale), at + 5
-    raise _wrong(f"a field of unknown type {kind:#x}")
+    raise _syntax_error(f"a field of unknown type {kind:#x}")
 
 
-def _array(buf: bytes, at: int, depth: int) -> tuple[list[Any], int]:
-    at, end = _within(buf, at, depth)
+def _read_array(buf: bytes, at: int, depth: int) -> tuple[list[Any], int]:
+    at, end = _read_table_bounds(buf, at, depth)
     out: list[Any] = []
     while at < end:
-        value, at = _value(buf, at, depth)
+        value, at = _read_value(buf, at, depth)
         out.append(value)
-        if len(out) > MOST_FIELDS:
-            raise _wrong(f"more than {MOST_FIELDS} values in an array")
+        if len(out) > MAX_FIELDS:
+            raise _syntax_error(f"more than {MAX_FIELDS} values in an array")
     if at != end:
-        raise _wrong("an array's last value goes beyond it")
+        raise _syntax_error("an array's last value goes beyond it")
     return out, at
 
 
-def _table(buf: bytes, at: int, depth: int = 0) -> tuple[Table, int]:
-    at, end = _within(buf, at, depth)
+def _read_table(buf: bytes, at: int, depth: int = 0) -> tuple[Table, int]:
+    at, end = _read_table_bounds(buf, at, depth)
     out: Table = {}
     count = 0
     while at < end:
-        name, at = _short(buf, at)
-        out[name], at = _value(buf, at, depth)
+        name, at = _read_short_string(buf, at)
+        out[name], at = _read_value(buf, at, depth)
         count += 1
-        if count > MOST_FIELDS:
-            raise _wrong(f"more than {MOST_FIELDS} fields in a table")
+        if count > MAX_FIELDS:
+            raise _syntax_error(f"more than {MAX_FIELDS} fields in a table")
     if at != end:
-        raise _wrong("a table's last field goes beyond it")
+        raise _syntax_error("a table's last field goes beyond it")
     return out, at
 
 
-def _within(buf: bytes, at: int, depth: int) -> tuple[int, int]:
-    if depth > MOST_DEPTH:
-        raise _wrong(f"tables nested deeper than {MOST_DEPTH}")
+def _read_table_bounds(buf: bytes, at: int, depth: int) -> tuple[int, int]:
+    if depth > MAX_DEPTH:
+        raise _syntax_error(f"tables nested deeper than {MAX_DEPTH}")
     (size,) = _INT32.unpack_from(buf, at)
     end = at + 4 + size
     if end > len(buf):
-        raise _wrong("a table goes beyond its frame")
+        raise _syntax_error("a table goes beyond its frame")
     return at + 4, end
 
 
-def _put_short(text: str) -> bytes:
+def _encode_short_string(text: str) -> bytes:
     raw = text.encode()
     if len(raw) > 255:
-        raise ValueError(f"a short string of {len(raw)} bytes; 255 are possible")
+        raise ValueError(f"a short string of {len(raw)} bytes; the maximum is 255")
     return bytes((len(raw),)) + raw
 
 
-_put_name = lru_cache(1_024)(_put_short)  # the same few names stand in every message
+_encode_name = lru_cache(1_024)(_encode_short_string)  # the same few names occur in every message
 
 
-def _put_value(value: Any, depth: int) -> bytes:
-    if type(value) is str:  # nearly all of them
+def _encode_value(value: Any, depth: int) -> bytes:
+    if type(value) is str:  # the most frequent type
         raw = value.encode()
         return b"S" + _INT32.pack(len(raw)) + raw
     match value:
@@ -223,25 +225,25 @@
         case None:
             return b"V"
         case dict():
-            return b"F" + _put_table(value, depth + 1)
+            return b"F" + _encode_table(value, depth + 1)
         case list() | tuple():
-            raw = b"".join(_put_value(one, depth + 1) for one in value)
+            raw = b"".join(_encode_value(item, depth + 1) for item in value)
             return b"A" + _INT32.pack(len(raw)) + raw
         case Decimal():
             exponent = value.as_tuple().exponent
             if not isinstance(exponent, int) or exponent > 0 or exponent < -255:
-                raise ValueError(f"{value} has no form as a decimal field")
+                raise ValueError(f"{value} can't be encoded as a decimal field")
             try:
                 return b"D" + struct.pack(">Bi", -exponent, int(value.scaleb(-exponent)))
             except (struct.error, InvalidOperation):
-                raise ValueError(f"{value} has no form as a decimal field") from None
-    raise ValueError(f"a {type(value).__name__} can't be a field")
+                raise ValueError(f"{value} can't be encoded as a decimal field") from None
+    raise ValueError(f"a {type(value).__name__} can't be encoded as a field")
 
 
-def _put_table(table: Table, depth: int = 0) -> bytes:
-    if depth > MOST_DEPTH:
-        raise ValueError(f"tables nested deeper than {MOST_DEPTH}")
-    raw = b"".join([_put_name(name) + _put_value(value, depth) for name, value in table.items()])
+def _encode_table(table: Table, depth: int = 0) -> bytes:
+    if depth > MAX_DEPTH:
+        raise ValueError(f"tables nested deeper than {MAX_DEPTH}")
+    raw = b"".join([_encode_name(name) + _encode_value(value, depth) for name, value in table.items()])
     return _INT32.pack(len(raw)) + raw
 
 
@@ -250,7 +252,7 @@
 
 @dataclass(slots=True)
 class Method:
-    """A method; `id` is its class and number, `content` whether a header and a body follow it."""
+    """A method.  `id` is its class and method number; with `content`, a header and a body follow it."""
 
     id: ClassVar[tuple[int, int]]
     content: ClassVar[bool] = False
@@ -261,57 +263,57 @@
 _M = TypeVar("_M", bound=type)
 
 
-def _plan(cls: type) -> list[tuple[str, Any]]:
-    """A method's wire format: runs of fixed width as one struct, bits in octets, the rest one by one."""
-    plan: list[tuple[str, Any]] = []
-    for one in fields(cls):
-        kind = str(one.type)
-        last = plan[-1][0] if plan else ""
+def _field_groups(cls: type) -> list[tuple[str, Any]]:
+    """The wire format of a method: fixed-width fields as structs, bits in octets, others one by one."""
+    groups: list[tuple[str, Any]] = []
+    for field_ in fields(cls):
+        kind = str(field_.type)
+        last = groups[-1][0] if groups else ""
         if kind in _FIXED:
             if last == "fixed":
-                plan[-1][1].append((one.name, _FIXED[kind]))
+                groups[-1][1].append((field_.name, _FIXED[kind]))
             else:
-                plan.append(("fixed", [(one.name, _FIXED[kind])]))
+                groups.append(("fixed", [(field_.name, _FIXED[kind])]))
         elif kind == "Bit":
-            if last == "bits" and len(plan[-1][1]) < 8:
-                plan[-1][1].append(one.name)
+            if last == "bits" and len(groups[-1][1]) < 8:
+                groups[-1][1].append(field_.name)
             else:
-                plan.append(("bits", [one.name]))
+                groups.append(("bits", [field_.name]))
         else:
-            plan.append((kind, one.name))
-    return plan
+            groups.append((kind, field_.name))
+    return groups
 
 
 def _method(class_id: int, method_id: int, content: bool = False) -> Callable[[_M], _M]:
-    """Declare a method by its fields: their annotations are their types on the wire."""
+    """Register a method class; the annotations of its fields are their wire types."""
 
-    def declare(cls: _M) -> _M:
-        made: Any = dataclass(slots=True)(cls)
-        made.id, made.content = (class_id, method_id), content
-        _METHODS[made.id] = _reader(made)
-        _WRITERS[made] = _writer(made)
-        return made
+    def decorate(cls: _M) -> _M:
+        method: Any = dataclass(slots=True)(cls)
+        method.id, method.content = (class_id, method_id), content
+        _METHODS[method.id] = _make_reader(method)
+        _WRITERS[method] = _make_writer(method)
+        return method
 
-    return declare
+    return decorate
 
 
-_READ: dict[str, Callable[[bytes, int], tuple[Any, int]]] = {
-    "ShortStr": _short,
-    "LongStr": _long,
-    "Table": _table,
+_STRING_READERS: dict[str, Callable[[bytes, int], tuple[Any, int]]] = {
+    "ShortStr": _read_short_string,
+    "LongStr": _read_long_string,
+    "Table": _read_table,
 }
 
 
-def _reader(cls: Any) -> Callable[[bytes], Method]:
+def _make_reader(cls: Any) -> Callable[[bytes], Method]:
     steps: list[tuple[Any, Any, int]] = []
-    for kind, what in _plan(cls):
+    for kind, what in _field_groups(cls):
         if kind == "fixed":
             form = struct.Struct(">" + "".join(letter for _, letter in what))
             steps.append((None, form, form.size))
         elif kind == "bits":
             steps.append((None, None, len(what)))
         else:
-            steps.append((_READ[kind], None, 0))
+            steps.append((_STRING_READERS[kind], None, 0))
 
     def read(buf: bytes) -> Method:
         values: list[Any] = []
@@ -328,16 +330,16 @@
                 at += 1
                 values += [bool(bits >> n & 1) for n in range(size)]
         if at != len(buf):
-            raise _wrong(f"{len(buf) - at} bytes too many in {cls.__name__}")
+            raise _syntax_error(f"{len(buf) - at} bytes too many in {cls.__name__}")
         return cls(*values)
 
     return read
 
 
-def _writer(cls: Any) -> Callable[[Any], bytes]:
+def _make_writer(cls: Any) -> Callable[[Any], bytes]:
     head = _IDS.pack(*cls.id)
     steps: list[tuple[str, Any, Any]] = []
-    for kind, what in _plan(cls):
+    for kind, what in _field_groups(cls):
         if kind == "fixed":
             names = tuple(name for name, _ in what)
             steps.append((kind, names, struct.Struct(">" + "".join(letter for _, letter in what))))
@@ -348,7 +350,7 @@
         out = head
         for kind, what, form in steps:
             if kind == "ShortStr":
-                out += _put_short(getattr(method, what))
+                out += _encode_short_string(getattr(method, what))
             elif kind == "fixed":
                 out += form.pack(*[getattr(method, name) for name in what])
             elif kind == "bits":
@@ -357,14 +359,14 @@
                 raw = getattr(method, what)
                 out += _INT32.pack(len(raw)) + raw
             else:
-                out += _put_table(getattr(method, what) or {})
+                out += _encode_table(getattr(method, what) or {})
         return out
 
     return write
 
 
-def _empty(*ids: tuple[int, int, str]) -> list[Any]:
-    """Methods without a field."""
+def _methods_without_fields(*ids: tuple[int, int, str]) -> list[Any]:
+    """Declare methods without fields."""
     return [_method(a, b)(type(name, (Method,), {"__annotations__": {}})) for a, b, name in ids]
 
 
@@ -440,7 +442,7 @@
     reason: ShortStr = ""
 
 
-CloseOk, Unblocked, UpdateSecretOk = _empty((10, 51, "CloseOk"), (10, 61, "Unblocked"),
+CloseOk, Unblocked, UpdateSecretOk = _methods_without_fields((10, 51, "CloseOk"), (10, 61, "Unblocked"),
 (10, 71, "UpdateSecretOk"))  # fmt: skip
 
 
@@ -472,7 +474,7 @@
     method_id: ShortInt = 0
 
 
-(ChannelCloseOk,) = _empty((20, 41, "ChannelCloseOk"))
+(ChannelCloseOk,) = _methods_without_fields((20, 41, "ChannelCloseOk"))
 
 
 @_method(40, 10)
@@ -516,7 +518,7 @@
     arguments: Table = None  # type: ignore[assignment]
 
 
-ExchangeDeclareOk, ExchangeDeleteOk, ExchangeBindOk, ExchangeUnbindOk = _empty(
+ExchangeDeclareOk, ExchangeDeleteOk, ExchangeBindOk, ExchangeUnbindOk = _methods_without_fields(
     (40, 11, "ExchangeDeclareOk"), (40, 21, "ExchangeDeleteOk"), (40, 31, "ExchangeBindOk"),
     (40, 51, "ExchangeUnbindOk"),
 )  # fmt: skip
@@ -586,7 +588,7 @@
     arguments: Table = None  # type: ignore[assignment]
 
 
-QueueBindOk, QueueUnbindOk = _empty((50, 21, "QueueBindOk"), (50, 51, "QueueUnbindOk"))
+QueueBindOk, QueueUnbindOk = _methods_without_fields((50, 21, "QueueBindOk"), (50, 51, "QueueUnbindOk"))
 
 
 @_method(60, 10)
@@ -700,7 +702,7 @@
     requeue: Bit = True
 
 
-QosOk, RecoverOk = _empty((60, 11, "QosOk"), (60, 111, "RecoverOk"))
+QosOk, RecoverOk = _methods_without_fields((60, 11, "QosOk"), (60, 111, "RecoverOk"))
 
 
 @_method(85, 10)
@@ -708,27 +710,27 @@
     nowait: Bit = False
 
 
-(ConfirmSelectOk,) = _empty((85, 11, "ConfirmSelectOk"))
+(ConfirmSelectOk,) = _methods_without_fields((85, 11, "ConfirmSelectOk"))
 
 
-# The methods of every message, written out: the general way costs two to three times as much.
+# Specialised code for the most frequent methods: the generic code takes two to three times as long.
 
 _TAG = struct.Struct(">QB")
 
 
 def _read_deliver(buf: bytes) -> Method:
-    consumer, at = _short(buf, 4)
+    consumer, at = _read_short_string(buf, 4)
     number, bits = _TAG.unpack_from(buf, at)
-    exchange, at = _short(buf, at + 9)
-    key, at = _short(buf, at)
+    exchange, at = _read_short_string(buf, at + 9)
+    key, at = _read_short_string(buf, at)
     if at != len(buf):
-        raise _wrong(f"{len(buf) - at} bytes too many in Deliver")
+        raise _syntax_error(f"{len(buf) - at} bytes too many in Deliver")
     return Deliver(consumer, number, bool(bits & 1), exchange, key)
 
 
 def _read_ack(buf: bytes) -> Method:
     if len(buf) != 13:
-        raise _wrong(f"{len(buf) - 13} bytes too many in Ack")
+        raise _syntax_error(f"{len(buf) - 13} bytes too many in Ack")
     number, bits = _TAG.unpack_from(buf, 4)
     return Ack(number, bool(bits & 1))
 
@@ -740,7 +742,7 @@
 def _write_publish(method: Publish) -> bytes:
     bits = bytes((method.mandatory | method.immediate << 1,))
     head = b"\0\x3c\0\x28" + method.reserved1.to_bytes(2, "big")
-    return head + _put_name(method.exchange) + _put_short(method.routing_key) + bits
+    return head + _encode_name(method.exchange) + _encode_short_string(method.routing_key) + bits
 
 
 _METHODS[Deliver.id], _METHODS[Ack.id] = _read_deliver, _read_ack
@@ -752,12 +754,12 @@
 
 @dataclass(slots=True)
 class Properties:
-    """Properties of a message; None where it has none of a name."""
+    """Properties of a message; None for an absent one."""
 
     content_type: str | None = None
     content_encoding: str | None = None
     headers: Table | None = None
-    delivery_mode: int | None = None  # 1 may be lost by a restart of the broker, 2 may not
+    delivery_mode: int | None = None  # 1: transient, 2: persistent
     priority: int | None = None
     correlation_id: str | None = None
     reply_to: str | None = None
@@ -771,15 +773,15 @@
 
 
 _PROPERTIES = [
-    (one.name, 1 << 15 - number, {"headers": "F", "delivery_mode": "B", "priority": "B", "timestamp": "T"}
-     .get(one.name, "s"))
-    for number, one in enumerate(fields(Properties))
+    (field_.name, 1 << 15 - number, {"headers": "F", "delivery_mode": "B", "priority": "B", "timestamp": "T"}
+     .get(field_.name, "s"))
+    for number, field_ in enumerate(fields(Properties))
 ]  # fmt: skip
 
 
 @dataclass(slots=True)
 class Header:
-    """The header of a content."""
+    """A content header."""
 
     size: int
     properties: Properties
@@ -787,33 +789,33 @@
 
 
 @lru_cache(256)
-def _named(flags: int) -> list[tuple[str, str]]:
-    """The properties that flags tell of, with their types."""
+def _present_properties(flags: int) -> list[tuple[str, str]]:
+    """Names and types of the properties that the flags mark as present."""
     return [(name, kind) for name, bit, kind in _PROPERTIES if flags & bit]
 
 
 def _read_header(buf: bytes) -> Header:
     class_id, _, size, flags = _CONTENT.unpack_from(buf, 0)
     if flags & 1:
-        raise _wrong("a content header with more flags than there are properties")
+        raise _syntax_error("a content header with more flags than there are properties")
     at, found = _CONTENT.size, Properties()
-    for name, kind in _named(flags):
+    for name, kind in _present_properties(flags):
         value: Any
         if kind == "s":
-            value, at = _short(buf, at)
+            value, at = _read_short_string(buf, at)
         elif kind == "F":
-            value, at = _table(buf, at)
+            value, at = _read_table(buf, at)
         elif kind == "B":
             value, at = buf[at], at + 1
         else:
             value, at = struct.unpack_from(">Q", buf, at)[0], at + 8
         setattr(found, name, value)
     if at != len(buf):
-        raise _wrong(f"{len(buf) - at} bytes too many in a content header")
+        raise _syntax_error(f"{len(buf) - at} bytes too many in a content header")
     return Header(size, found, class_id)
 
 
-def _put_header(header: Header) -> bytes:
+def _encode_header(header: Header) -> bytes:
     flags, out = 0, b""
     properties = header.properties
     for name, bit, kind in _PROPERTIES:
@@ -822,9 +824,9 @@
             continue
         flags |= bit
         if kind == "s":
-            out += _put_short(value)
+            out += _encode_short_string(value)
         elif kind == "F":
-            out += _put_table(value)
+            out += _encode_table(value)
         elif kind == "B":
             out += bytes((value,))
         else:
@@ -834,43 +836,43 @@
 
 # Frames (4.2.3).
 
-Item = Method | Header | bytes | None  # a method, a content header, a piece of a body, a heartbeat
+FrameContent = Method | Header | bytes | None  # method, content header, part of a body, heartbeat
 
 
 class Decoder:
-    """Bytes to frames.  `most`: bytes of a frame, its 8 around the payload included."""
+    """Decodes frames.  `max_frame_bytes` includes the 8 bytes besides the payload."""
 
-    def __init__(self, most: int = 131_072) -> None:
-        self.most = most
+    def __init__(self, max_frame_bytes: int = 131_072) -> None:
+        self.max_frame_bytes = max_frame_bytes
         self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[tuple[int, Item]]:
-        """Take bytes; gives each whole frame's channel and what it holds.  Raises AmqpError."""
+    def feed(self, data: bytes) -> list[tuple[int, FrameContent]]:
+        """Parse received bytes; returns channel and content of each complete frame.  Raises AmqpError."""
         if self.buffer:
             self.buffer += data
             data = bytes(self.buffer)
             self.buffer.clear()
-        out: list[tuple[int, Item]] = []
-        at, have = 0, len(data)
-        while have - at >= 7:
+        out: list[tuple[int, FrameContent]] = []
+        at, length = 0, len(data)
+        while length - at >= 7:
             kind, channel, size = _FRAME.unpack_from(data, at)
             if kind not in _KINDS:
                 raise AmqpError(Code.FRAME_ERROR, f"a frame of type {kind}")
-            if size + FRAME_EXTRA > self.most:
-                text = f"a frame of {size + FRAME_EXTRA} bytes, {self.most} agreed"
+            if size + FRAME_EXTRA > self.max_frame_bytes:
+                text = f"a frame of {size + FRAME_EXTRA} bytes, {self.max_frame_bytes} agreed"
                 raise AmqpError(Code.FRAME_ERROR, text)
             end = at + 7 + size
-            if have <= end:
+            if length <= end:
                 break
             if data[end] != FRAME_END:
                 raise AmqpError(Code.FRAME_ERROR, f"a frame that ends with {data[end]:#x}")
-            out.append((channel, _item(kind, channel, data[at + 7 : end])))
+            out.append((channel, _decode_payload(kind, channel, data[at + 7 : end])))
             at = end + 1
         self.buffer += data[at:]
         return out
 
 
-def _item(kind: int, channel: int, payload: bytes) -> Item:
+def _decode_payload(kind: int, channel: int, payload: bytes) -> FrameContent:
     if kind == BODY:
         return payload
     try:
@@ -883,7 +885,7 @@
         if kind == HEADER:
             return _read_header(payload)
     except (struct.error, IndexError):
-        raise _wrong("a frame ends within a field") from None
+        raise _syntax_error("a frame ends within a field") from None
     if channel or payload:
         raise AmqpError(Code.FRAME_ERROR, "a heartbeat with a channel or a payload")
     return None
@@ -897,15 +899,23 @@
 
 
 def encode(channel: int, method: Method) -> bytes:
-    """A method as a frame; raises ValueError where a value does not fit its field."""
+    """Encode a method as a frame; raises ValueError if a value does not fit its field."""
     return _frame(METHOD, channel, _WRITERS[type(method)](method))
 
 
 def encode_content(
-    channel: int, method: Method, properties: Properties, body: bytes, most: int, pieces: int = 0
+    channel: int,
+    method: Method,
+    properties: Properties,
+    body: bytes,
+    max_frame_bytes: int,
+    body_frame_bytes: int = 0,
 ) -> bytes:
-    """A method with its content, its body in frames of `most` bytes at most (or of `pieces` bytes of it)."""
-    out = [encode(channel, method), _frame(HEADER, channel, _put_header(Header(len(body), properties)))]
-    room = pieces or most - FRAME_EXTRA
-    out += [_frame(BODY, channel, body[at : at + room]) for at in range(0, len(body), room)]
+    """Encode a method with its content.
+
+    The body is split into frames of at most `max_frame_bytes`, or of `body_frame_bytes` of payload if given.
+    """
+    out = [encode(channel, method), _frame(HEADER, channel, _encode_header(Header(len(body), properties)))]
+    chunk_bytes = body_frame_bytes or max_frame_bytes - FRAME_EXTRA
+    out += [_frame(BODY, channel, body[at : at + chunk_bytes]) for at in range(0, len(body), chunk_bytes)]
     return b"".join(out)
--- a/swiftwell/fronts/amqp/contract.py
+++ b/swiftwell/fronts/amqp/contract.py
@@ -1,8 +1,9 @@
-"""The contract with publishers: an AMQP message as a trigger, and an answer as an AMQP message.  No I/O.
+"""The contract with publishers: converts AMQP messages to triggers and answers to AMQP messages.  No I/O.
 
-Routing key: `PREFIX.TENANT.CLASS.FUNCTION`, where FUNCTION may have further words; a dot stands for the slash
-of an MQTT topic, so one function has one name on both fronts.  The headers `tenant`, `class` and `function`
-go before it, for publishers that write to a queue by its name.  docs/amqp.md has it whole.
+The routing key is `PREFIX.TENANT.CLASS.FUNCTION`, where FUNCTION may consist of several words.  Dots in it
+stand for the slashes of an MQTT topic, so that a function has the same name on both fronts.  The headers
+`tenant`, `class` and `function` override the routing key, for publishers that address a queue by its name.
+docs/amqp.md documents the contract in full.
 """
 
 from __future__ import annotations
@@ -23,13 +24,16 @@
 )
 from swiftwell.fronts.trigger import Answer, Trigger
 
-MOST_HEADERS = 64  # headers of a trigger
+MAX_HEADERS = 64  # of a trigger
 _NAMES = ("tenant", "class", "function")
 
 
 @dataclass(slots=True, eq=False)
 class Ref:
-    """Where an answer goes, and what acknowledges its trigger.  `connection` is (consumer, generation)."""
+    """Where the answer to a trigger goes, and the delivery tag that acknowledges the trigger.
+
+    `connection` is (consumer, generation).  `safe`: the class of the trigger is safe to repeat.
+    """
 
     connection: Any
     tag: int
@@ -38,8 +42,8 @@
     key: str = ""
     safe: bool = True
     acked: bool = False
-    arrived: float = 0.0  # monotonic s
-    also: list[Ref] = field(default_factory=list)  # later deliveries of the same message
+    received_at: float = 0.0  # monotonic s
+    redeliveries: list[Ref] = field(default_factory=list)  # later deliveries of the same message
 
 
 def _text(value: object) -> str:
@@ -47,8 +51,10 @@
 
 
 class Contract:
-    """Reads triggers for one link.  `prefix`: the first words of the routing key, separated by slashes as in
-    the settings of all fronts."""
+    """Converts the messages of one link.
+
+    `prefix` is the first part of the routing key, separated by slashes as in the settings of all fronts.
+    """
 
     def __init__(
         self,
@@ -60,14 +66,14 @@
         self._prefix = prefix.strip("/").split("/")
         self.reader = MessageReader(deadlines_ms, hint, False, alone)
 
-    def ref(self, deliver: Deliver, properties: Properties, connection: Any, arrived: float) -> Ref:
-        """Where an answer to this message goes, as far as it can be read."""
+    def ref(self, deliver: Deliver, properties: Properties, connection: Any, received_at: float) -> Ref:
+        """The reference for the answer to a message, from its properties alone."""
         return Ref(
             connection,
             deliver.delivery_tag,
             properties.reply_to or "",
             properties.correlation_id or "",
-            arrived=arrived,
+            received_at=received_at,
         )
 
     def read(
@@ -80,38 +86,45 @@
         now_ms: float,
         fresh: bool = True,
     ) -> tuple[Trigger, float | None]:
-        """A message as a trigger, and its age in ms where it tells when it was sent; completes `ref`.
+        """Convert a message to a trigger; returns its age in ms too, or None without a sending time.
 
-        `fresh`: it can't have waited for us at the broker.  Raises InvalidMessage.
+        Fills in `ref.key`.  `fresh`: the message can't have waited at the broker.  Raises InvalidMessage.
         """
         headers = properties.headers or {}
-        if len(headers) > MOST_HEADERS:
-            raise InvalidMessage(f"more than {MOST_HEADERS} headers")
-        named = {name: _text(headers[name]) for name in _NAMES if name in headers}
-        if len(named) == len(_NAMES):
-            tenant, request_class, function = named["tenant"], named["class"], named["function"]
+        if len(headers) > MAX_HEADERS:
+            raise InvalidMessage(f"more than {MAX_HEADERS} headers")
+        address_headers = {name: _text(headers[name]) for name in _NAMES if name in headers}
+        if len(address_headers) == len(_NAMES):
+            tenant, request_class, function = (
+                address_headers["tenant"],
+                address_headers["class"],
+                address_headers["function"],
+            )
         else:
             tenant, request_class, function = parse_address(deliver.routing_key, self._prefix, ".")
-            tenant, request_class = named.get("tenant", tenant), named.get("class", request_class)
-            function = named.get("function", function)
+            tenant, request_class = (
+                address_headers.get("tenant", tenant),
+                address_headers.get("class", request_class),
+            )
+            function = address_headers.get("function", function)
         if not (tenant and request_class and function):
             raise InvalidMessage("an empty tenant, class or function", True)
-        given = numeric_fields(headers.items())
-        if properties.timestamp is not None and "sent-ms" not in given:
-            # Whole seconds, cut off: taken at their end, or a message would seem older than it is.
-            given["sent-ms"] = properties.timestamp * 1_000.0 + 1_000.0
+        numbers = numeric_fields(headers.items())
+        if properties.timestamp is not None and "sent-ms" not in numbers:
+            # The timestamp is truncated to seconds.  Its end is used, so that no message seems too old.
+            numbers["sent-ms"] = properties.timestamp * 1_000.0 + 1_000.0
         ref.key = _text(headers.get("key")) or properties.message_id or ""
         expiry = _expiry(properties.expiration)
-        sent, publisher = given.get("sent-ms"), f"{tenant} {ref.reply}"
-        if sent is not None and "timeout-ms" not in given and expiry is not None:
-            # A broker does not count its expiration down: it is the publisher's patience, from when it sent.
-            given["timeout-ms"], expiry = expiry, None
+        sent, publisher = numbers.get("sent-ms"), f"{tenant} {ref.reply}"
+        if sent is not None and "timeout-ms" not in numbers and expiry is not None:
+            # A broker does not count the expiration down: it is the publisher's time-out since the sending.
+            numbers["timeout-ms"], expiry = expiry, None
         message = Message(
-            tenant, request_class, function, ref.key, body, given, publisher, expiry, deliver.redelivered,
+            tenant, request_class, function, ref.key, body, numbers, publisher, expiry, deliver.redelivered,
             fresh=fresh,
         )  # fmt: skip
-        age = None if sent is None else max(0.0, now_ms - sent)
-        return self.reader.trigger(message, source, ref, now_ms), age
+        age_ms = None if sent is None else max(0.0, now_ms - sent)
+        return self.reader.trigger(message, source, ref, now_ms), age_ms
 
 
 def _expiry(text: str | None) -> float | None:
@@ -122,12 +135,12 @@
     return float(text)
 
 
-def answer(ref: Ref, given: Answer, number: int, repeated: bool = False) -> tuple[Properties, bytes]:
-    """An answer as properties and body; `number` finds it again when the broker returns it."""
-    headers: dict[str, Any] = dict(answer_fields(given, ref.key))
+def answer(ref: Ref, answer_: Answer, number: int, repeated: bool = False) -> tuple[Properties, bytes]:
+    """Convert an answer to properties and body; `number` identifies it when the broker returns it."""
+    headers: dict[str, Any] = dict(answer_fields(answer_, ref.key))
     if repeated:
-        headers["repeated"] = True  # it may have come before: a connection was lost with it in flight
+        headers["repeated"] = True  # it may have been received before a connection was lost
     properties = Properties(
         headers=headers, correlation_id=ref.correlation or None, message_id=str(number), delivery_mode=1
     )
-    return properties, given.body
+    return properties, answer_.body
--- a/swiftwell/fronts/amqp/link.py
+++ b/swiftwell/fronts/amqp/link.py
@@ -1,4 +1,4 @@
-"""The link to one AMQP broker: sockets, heartbeats, coming back.  What it means is the consumer's."""
+"""The link to one AMQP broker: socket I/O, heartbeats and reconnecting.  The consumer holds the logic."""
 
 from __future__ import annotations
 
@@ -16,123 +16,123 @@
 from swiftwell.fronts.amqp.session import Ended, Session
 from swiftwell.fronts.host import Backoff, Host
 
-CONNECT_S = 5.0  # s for a connection and its handshake
-CHUNK = 262_144  # bytes read at once
+CONNECT_TIMEOUT_S = 5.0  # including the handshake
+READ_BYTES = 262_144  # per read
 
 
 class Link:
-    """One broker, kept up until `close`; its addresses are tried in turn."""
+    """Keeps a connection to one broker until `close`; its addresses are tried in turn."""
 
     def __init__(
-        self, host: Host, contract: Contract, link: BrokerLink, chance: random.Random, alone: bool
+        self, host: Host, contract: Contract, link: BrokerLink, rng: random.Random, alone: bool
     ) -> None:
-        self._host, self.link, self._backoff = host, link, Backoff(chance)
+        self._host, self.link, self._backoff = host, link, Backoff(rng)
         self.consumer = Consumer(host, contract, link, self._wake, alone)
         self.stream: IOStream | None = None
-        self.resting = False
+        self.handover_paused = False
         self._adopted: IOStream | None = None
         self._closing = self._flushing = False
-        self.heard = self.spoke = 0.0
-        self._why = ""
+        self.received_at = self.sent_at = 0.0
+        self._close_reason = ""
 
     async def run(self) -> None:
-        """Connect, serve, come back."""
-        looking = asyncio.ensure_future(self._look())
-        turn = 0
+        """Connect and serve, and reconnect with back-off, until `close`."""
+        ticking = asyncio.ensure_future(self._tick_forever())
+        address_number = 0
         try:
             while not self._closing:
-                host, port = self.link.addresses[turn % len(self.link.addresses)]
-                turn += 1
-                began = time.monotonic()
-                why = await self._once(host, port)
+                host, port = self.link.addresses[address_number % len(self.link.addresses)]
+                address_number += 1
+                started_at = time.monotonic()
+                reason = await self._serve_connection(host, port)
                 if self._closing:
                     return
-                self._backoff.connection_ended(time.monotonic() - began)
-                wait = self._backoff.next_delay_s()
+                self._backoff.connection_ended(time.monotonic() - started_at)
+                delay_s = self._backoff.next_delay_s()
                 self._host.log(
-                    "warning", "broker-lost", broker=self.link.name, address=f"{host}:{port}", why=why,
-                    again_in_s=round(wait, 2),
+                    "warning", "broker-lost", broker=self.link.name, address=f"{host}:{port}", why=reason,
+                    again_in_s=round(delay_s, 2),
                 )  # fmt: skip
-                await asyncio.sleep(wait)
+                await asyncio.sleep(delay_s)
         finally:
-            looking.cancel()
+            ticking.cancel()
 
     def adopt(self, stream: IOStream) -> None:
-        """Go on with a connection that another process had; before `run`."""
+        """Continue a connection of the previous process; called before `run`."""
         self._adopted = self.stream = stream
-        self.heard = self.spoke = time.monotonic()
+        self.received_at = self.sent_at = time.monotonic()
 
-    async def _once(self, host: str, port: int) -> str:
-        """One connection, from its opening to its end; why it ended."""
+    async def _serve_connection(self, host: str, port: int) -> str:
+        """Serve one connection until it ends; returns the reason."""
         if self._adopted and self.consumer.session:
             stream, self._adopted = self._adopted, None
-            return await self._serve(stream, self.consumer.session)
+            return await self._read_until_closed(stream, self.consumer.session)
         try:
-            stream = await asyncio.wait_for(TCPClient().connect(host, port), CONNECT_S)
+            stream = await asyncio.wait_for(TCPClient().connect(host, port), CONNECT_TIMEOUT_S)
         except (OSError, StreamClosedError, TimeoutError) as error:
             return f"no connection: {str(error) or type(error).__name__}"
         stream.set_nodelay(True)
-        stream.max_write_buffer_size = self.link.waiting_out
-        self.heard = self.spoke = time.monotonic()
-        return await self._serve(stream, self.consumer.connected())
-
-    async def _serve(self, stream: IOStream, session: Session) -> str:
-        self.stream, self._why = stream, ""
-        began = time.monotonic()
-        keeper = asyncio.ensure_future(self._keep(session, began))
+        stream.max_write_buffer_size = self.link.max_unsent_bytes
+        self.received_at = self.sent_at = time.monotonic()
+        return await self._read_until_closed(stream, self.consumer.connected())
+
+    async def _read_until_closed(self, stream: IOStream, session: Session) -> str:
+        self.stream, self._close_reason = stream, ""
+        started_at = time.monotonic()
+        heartbeat_task = asyncio.ensure_future(self._check_heartbeats(session, started_at))
         try:
             self._flush()
             while session.state != "over":
-                data = await stream.read_bytes(CHUNK, partial=True)
-                self.heard = time.monotonic()
-                self._take(session, data)
+                data = await stream.read_bytes(READ_BYTES, partial=True)
+                self.received_at = time.monotonic()
+                self._on_data(session, data)
         except StreamClosedError:
-            self._why = self._why or "closed by the broker"
+            self._close_reason = self._close_reason or "closed by the broker"
         finally:
-            keeper.cancel()
+            heartbeat_task.cancel()
             stream.close()
             self.stream = None
             self.consumer.disconnected()
-        return self._why
+        return self._close_reason
 
-    def _take(self, session: Session, data: bytes) -> None:
+    def _on_data(self, session: Session, data: bytes) -> None:
         for event in session.feed(data):
             if isinstance(event, Ended):
-                self._why = self._why or f"{event.code} {event.text}"
-            self.consumer.event(event)
+                self._close_reason = self._close_reason or f"{event.code} {event.text}"
+            self.consumer.on_event(event)
         self.consumer.after_batch()
         self._flush()
 
-    async def _keep(self, session: Session, began: float) -> None:
-        """Heartbeats both ways (4.2.7): ours at half the interval, theirs missed for two of it is the end."""
+    async def _check_heartbeats(self, session: Session, started_at: float) -> None:
+        """Send a heartbeat each half interval, and abort after two intervals without input (4.2.7)."""
         while True:
             await asyncio.sleep(min(1.0, (session.heartbeat_s or self.link.login.heartbeat_s) / 4))
             now = time.monotonic()
-            if self.resting:
+            if self.handover_paused:
                 continue
-            if session.state != "ready" and now - began > CONNECT_S:
+            if session.state != "ready" and now - started_at > CONNECT_TIMEOUT_S:
                 return self._abort("the handshake took too long")
             if not session.heartbeat_s:
                 continue
-            if now - self.heard > 2 * session.heartbeat_s:
-                return self._abort("nothing was heard for two heartbeats")
-            if now - self.spoke > session.heartbeat_s / 2:
-                session.beat()
+            if now - self.received_at > 2 * session.heartbeat_s:
+                return self._abort("no input for two heartbeat intervals")
+            if now - self.sent_at > session.heartbeat_s / 2:
+                session.send_heartbeat()
                 self._flush()
 
-    def _abort(self, why: str) -> None:
-        self._why = self._why or why
+    def _abort(self, reason: str) -> None:
+        self._close_reason = self._close_reason or reason
         if self.stream:
             self.stream.close()
 
-    async def _look(self) -> None:
+    async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_US / 1e6)
-            if not self.resting:
-                self.consumer.look(time.monotonic_ns() // 1_000)
+            if not self.handover_paused:
+                self.consumer.tick(time.monotonic_ns() // 1_000)
 
     def _wake(self) -> None:
-        """There is something to send: once in a turn of the loop, with all that this turn gives."""
+        """Schedule one flush at the end of the current loop iteration."""
         if not self._flushing:
             self._flushing = True
             IOLoop.current().add_callback(self._flush)
@@ -140,19 +140,19 @@
     def _flush(self) -> None:
         self._flushing = False
         session = self.consumer.session
-        if session is None or self.stream is None or not session.out or self.resting:
+        if session is None or self.stream is None or not session.send_buffer or self.handover_paused:
             return
-        self.spoke = time.monotonic()
+        self.sent_at = time.monotonic()
         try:
-            # The future is not waited for: the bound on the buffer is the back pressure.
-            self.stream.write(session.take())
+            # The future is not awaited: the bounded write buffer provides the back pressure.
+            self.stream.write(session.take_send_buffer())
         except StreamBufferFullError:
-            self._abort("the broker does not read what it is sent")
+            self._abort("the broker does not read; the send buffer is full")
         except StreamClosedError:
             pass
 
     def close(self) -> None:
-        """End the link; what is not acknowledged goes to other gateways, or waits for this one."""
+        """End the link; the broker keeps unacknowledged triggers for other gateways or for the next start."""
         self._closing = True
         session = self.consumer.session
         if session and self.stream:
--- a/swiftwell/fronts/amqp/prefetch.py
+++ b/swiftwell/fronts/amqp/prefetch.py
@@ -1,70 +1,74 @@
-"""How many unanswered triggers this gateway holds of a queue.  A decision, no I/O.
+"""Decides how many unanswered triggers of a queue this gateway holds (the prefetch limit).  No I/O.
 
-What is held beyond what runs waits here instead of at the broker, where any gateway could take it: it is
-stranded if this gateway dies, and it waits behind our own line though another gateway may have room.  What is
-held too little of leaves workers idle for the time that a delivery takes.  So: hold what runs, and a line of
-the triggers that end within `LINE_S`, and find out how much can run by letting the limit grow while nothing
-waits.  A limit that is not used falls back, so that the next burst is spread over all gateways.
+A trigger held beyond those that run waits here instead of at the broker, where any gateway could take it: it
+is stuck if this gateway dies, and it waits in this gateway's backlog though another gateway may have room.
+Holding too few leaves workers idle for the duration of a delivery.  The limit is therefore the number of
+running triggers plus a backlog of those that complete within `BACKLOG_S`.  It grows while nothing waits, to
+find out how many can run.  An unused limit falls back, so that the next burst is spread over all gateways.
 """
 
 from __future__ import annotations
 
-TICK_US = 50_000  # us between two looks
-FIRST = 16  # triggers held at the start, and what an idle gateway holds itself ready for
-LINE_S = 0.5  # s: a line of what ends in this time is worth holding; docs/performance.md has 0.1 and 1.0
-LINE_LEAST = 4  # triggers of a line that is held in any case
-GROW = 1.5  # times the limit in a look at which it is used up and nothing waits
-CAREFUL = 0.8  # of the limit at which a line last came up: beyond it, growth is by steps
-STEP = 0.05  # of the limit, in a careful look
-IDLE_US = 1_000_000  # us of a limit that is not used, after which it falls back
-RATE = 0.1  # weight of a look in the usual pace
+TICK_US = 50_000  # between two updates
+INITIAL_LIMIT = 16  # triggers, at the start and when idle
+BACKLOG_S = 0.5  # backlog to hold, as completion time; docs/performance.md compares 0.1 and 1.0
+MIN_BACKLOG = 4  # triggers that may wait in any case
+GROWTH_FACTOR = 1.5  # per update at which the limit is used up and no backlog has built up
+CAUTIOUS_FRACTION = 0.8  # of the limit at which a backlog last built up; growth is slower above it
+CAUTIOUS_STEP = 0.05  # relative growth of the limit per update, above CAUTIOUS_FRACTION
+IDLE_US = 1_000_000  # an unused limit falls back after this time
+COMPLETION_RATE_WEIGHT = 0.1  # weight of one update in the moving average
 
 
 class Prefetch:
-    """The limit for one link.
+    """The prefetch limit of one link.
 
-    `least`, `most`: bounds from the settings; equal ones make it fixed.
+    `minimum` and `maximum` are the bounds of the settings; if they are equal, the limit is fixed.
 
-    >>> Prefetch(10, 10).look(0, 10, 10, 0, 5)
+    >>> Prefetch(10, 10).update(0, 10, 10, 0, 5)
     10
     """
 
-    def __init__(self, least: int = 1, most: int = 65_535) -> None:
-        self._least, self._most = least, most
-        self.limit = self._bounded(FIRST)
-        self._turned = 0.0  # the limit at which a line last came up; 0 is never
-        self._pace = 0.0  # triggers that end in a look
-        self._used_us = 0
-        self._peak = 0  # of what was held since the limit was last used up
+    def __init__(self, minimum: int = 1, maximum: int = 65_535) -> None:
+        self._min, self._max = minimum, maximum
+        self.limit = self._bounded(INITIAL_LIMIT)
+        self._limit_at_backlog = 0.0  # the limit at which a backlog last built up; 0: never
+        self._completions_per_tick = 0.0  # moving average
+        self._last_full_us = 0
+        self._peak_held = 0  # most triggers held since the limit was last used up
 
     def _bounded(self, value: float) -> int:
-        return int(max(self._least, min(self._most, value)))
+        return int(max(self._min, min(self._max, value)))
 
     @property
-    def line(self) -> float:
-        """Triggers that may wait."""
-        return max(LINE_LEAST, self._pace * LINE_S * 1e6 / TICK_US)
+    def allowed_backlog(self) -> float:
+        """Number of triggers that may wait."""
+        return max(MIN_BACKLOG, self._completions_per_tick * BACKLOG_S * 1e6 / TICK_US)
 
-    def look(self, now_us: int, held: int, running: int, waiting: int, ended: int) -> int:
-        """The limit from now on.
+    def update(self, now_us: int, held: int, running: int, waiting: int, answered: int) -> int:
+        """Update the limit and return it.
 
-        `held`: triggers without an answer, of which `running` are at a worker and `waiting` are not;
-        `ended`: answers since the last look.
+        `held` is the number of triggers without an answer, of which `running` are at a worker and `waiting`
+        are not.  `answered` is the number of answers since the last update.
         """
-        self._pace += RATE * (ended - self._pace)
-        line = self.line
-        if waiting > line and running:
-            # What runs is what can run: beyond it and the line, triggers would only wait here.
-            self._turned = running + line
-            self.limit = self._bounded(max(FIRST, running + line))
-            self._used_us, self._peak = now_us, held
+        self._completions_per_tick += COMPLETION_RATE_WEIGHT * (answered - self._completions_per_tick)
+        backlog = self.allowed_backlog
+        if waiting > backlog and running:
+            # The workers are saturated: triggers beyond those running and the backlog would only wait here.
+            self._limit_at_backlog = running + backlog
+            self.limit = self._bounded(max(INITIAL_LIMIT, running + backlog))
+            self._last_full_us, self._peak_held = now_us, held
         elif held >= self.limit * 0.9:
-            step = GROW if not self._turned or self.limit < CAREFUL * self._turned else 1 + STEP
+            step = (
+                GROWTH_FACTOR
+                if not self._limit_at_backlog or self.limit < CAUTIOUS_FRACTION * self._limit_at_backlog
+                else 1 + CAUTIOUS_STEP
+            )
             self.limit = self._bounded(max(self.limit + 1, self.limit * step))
-            self._used_us, self._peak = now_us, held
+            self._last_full_us, self._peak_held = now_us, held
         else:
-            self._peak = max(self._peak, held)
-            if now_us - self._used_us > IDLE_US:
-                self.limit = self._bounded(max(FIRST, min(self.limit, self._peak + line)))
-                self._used_us, self._peak, self._turned = now_us, held, 0.0
+            self._peak_held = max(self._peak_held, held)
+            if now_us - self._last_full_us > IDLE_US:
+                self.limit = self._bounded(max(INITIAL_LIMIT, min(self.limit, self._peak_held + backlog)))
+                self._last_full_us, self._peak_held, self._limit_at_backlog = now_us, held, 0.0
         return self.limit
--- a/swiftwell/fronts/amqp/redelivery.py
+++ b/swiftwell/fronts/amqp/redelivery.py
@@ -1,11 +1,11 @@
-"""What a trigger that was delivered before may do, on a queue that several gateways share.  No I/O.
-
-A gateway runs a trigger of a class with effects only after its broker has processed the acknowledgement: it
-acknowledges, asks something that the broker must answer on the same channel (methods of a channel are
-processed in order), and waits for that answer.  So a broker that delivers such a trigger again has never seen
-its acknowledgement, and no gateway has run it - unless the broker has lost the acknowledgement, by a crash or
-a fail-over.  We would have lost our connection by that; one that has stood for longer than the trigger can
-exist proves that nothing was lost in its time.
+"""Decides whether a redelivered trigger may have run, on a queue that several gateways consume.  No I/O.
+
+A gateway runs a trigger of a class with effects only after the broker has processed its acknowledgement: it
+acknowledges, sends a method that the broker must answer on the same channel (the methods of a channel are
+processed in order), and waits for the answer.  A broker that delivers such a trigger again has therefore not
+seen the acknowledgement, and no gateway has run the trigger, unless the broker lost the acknowledgement in a
+crash or fail-over.  That would also have ended this gateway's connection.  So a connection that is older than
+the trigger proves that no acknowledgement was lost since the trigger was sent.
 """
 
 from __future__ import annotations
@@ -13,39 +13,40 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SLACK_US = 5_000_000  # us: twice the clock skew of publishers (time_budget.MAX_SKEW_MS) and a second
+SLACK_US = 5_000_000  # twice the clock skew of publishers (time_budget.MAX_SKEW_MS) and a second
 
 
-class Redelivered(Enum):
-    """What the settings allow: to run what is known not to have run, or nothing delivered before."""
+class RedeliveryPolicy(Enum):
+    """Which redelivered triggers may run: those known not to have run, or none."""
 
     KNOWN = "known"
     NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
-class Delivered:
-    """A trigger with effects as it came.
+class Delivery:
+    """A delivered trigger of a class with effects.
 
-    `again`: the broker says that it was delivered before.  `age_us`: since its publisher sent it, as far as
-    its clock can be believed; None where it does not tell.  `link_us`: for how long our connection has stood.
+    `redelivered` is the broker's flag.  `age_us` is the time since the publisher sent the trigger, subject to
+    the publisher's clock, or None if the publisher does not state it.  `connected_us` is the age of the
+    connection to the broker.
     """
 
-    again: bool
+    redelivered: bool
     age_us: int | None
-    link_us: int
+    connected_us: int
 
 
-def may_have_run(one: Delivered, alone: bool, allowed: Redelivered) -> bool:
-    """Whether another gateway may have run it.
+def may_have_run(delivery: Delivery, alone: bool, policy: RedeliveryPolicy) -> bool:
+    """Whether another gateway may have run the trigger.
 
-    >>> may_have_run(Delivered(True, 1_000_000, 60_000_000), False, Redelivered.KNOWN)
+    >>> may_have_run(Delivery(True, 1_000_000, 60_000_000), False, RedeliveryPolicy.KNOWN)
     False
-    >>> may_have_run(Delivered(True, None, 60_000_000), False, Redelivered.KNOWN)
+    >>> may_have_run(Delivery(True, None, 60_000_000), False, RedeliveryPolicy.KNOWN)
     True
     """
-    if not one.again or alone:
-        return False  # alone, our own ledger knows
-    if allowed is Redelivered.NEVER or one.age_us is None:
+    if not delivery.redelivered or alone:
+        return False  # a single gateway has every run in its own ledger
+    if policy is RedeliveryPolicy.NEVER or delivery.age_us is None:
         return True
-    return one.link_us < one.age_us + SLACK_US
+    return delivery.connected_us < delivery.age_us + SLACK_US
--- a/swiftwell/fronts/amqp/wire.py
+++ b/swiftwell/fronts/amqp/wire.py
@@ -1,6 +1,6 @@
-"""Frames of one connection put together: each method with its content, channel by channel.  No I/O.
+"""Assembles the frames of one connection into methods with their contents, per channel.  No I/O.
 
-Both ends of a connection use it: the gateway's consumer, its client, and the stand-in broker.
+Used by the gateway's consumer, by the client and by the stand-in broker.
 """
 
 from __future__ import annotations
@@ -20,8 +20,10 @@
 
 @dataclass(slots=True)
 class Incoming:
-    """A method that has come whole.  `body` is empty for one without content; `too_large`: its body was
-    skipped."""
+    """A complete method.
+
+    `body` is empty for a method without content.  With `too_large`, the body was skipped.
+    """
 
     channel: int
     method: Method
@@ -32,45 +34,46 @@
 
 @dataclass(slots=True)
 class _Content:
-    """A content under way."""
+    """A content that is not complete yet."""
 
     method: Method
     header: Header | None = None
     parts: list[bytes] = field(default_factory=list)
-    got: int = 0
+    received_bytes: int = 0
 
 
 class Wire:
     """One direction of a connection.
 
-    `most_frame` bytes of a frame, `most_body` of a body that is kept; a larger one is skipped and told.
+    A frame larger than `max_frame_bytes` is an error.  A body larger than `max_body_bytes` is skipped and
+    reported as `Incoming.too_large`.
     """
 
-    def __init__(self, most_frame: int, most_body: int) -> None:
-        self.decoder = Decoder(most_frame)
-        self._most_body = most_body
+    def __init__(self, max_frame_bytes: int, max_body_bytes: int) -> None:
+        self.decoder = Decoder(max_frame_bytes)
+        self._max_body_bytes = max_body_bytes
         self._contents: dict[int, _Content] = {}
 
     def feed(self, data: bytes) -> list[Incoming | None]:
-        """Take bytes; gives what has come whole, None for a heartbeat.  Raises AmqpError."""
-        out: list[Incoming | None] = []
+        """Parse received bytes; returns complete methods, and None for each heartbeat.  Raises AmqpError."""
+        result: list[Incoming | None] = []
         for channel, item in self.decoder.feed(data):
             if item is None:
-                out.append(None)
+                result.append(None)
             elif isinstance(item, bytes):
-                self._piece(channel, item, out)
+                self._on_body_frame(channel, item, result)
             elif isinstance(item, Header):
-                self._header(channel, item, out)
+                self._on_header_frame(channel, item, result)
             else:
                 if channel in self._contents:
                     raise AmqpError(Code.UNEXPECTED_FRAME, "a method within a content", item.id)
                 if item.content:
                     self._contents[channel] = _Content(item)
                 else:
-                    out.append(Incoming(channel, item))
-        return out
+                    result.append(Incoming(channel, item))
+        return result
 
-    def _header(self, channel: int, header: Header, out: list[Incoming | None]) -> None:
+    def _on_header_frame(self, channel: int, header: Header, result: list[Incoming | None]) -> None:
         content = self._contents.get(channel)
         if content is None or content.header:
             raise AmqpError(Code.UNEXPECTED_FRAME, "a content header without its method")
@@ -78,56 +81,56 @@
             raise AmqpError(Code.FRAME_ERROR, f"a content header of class {header.class_id}")
         content.header = header
         if not header.size:
-            self._whole(channel, content, out)
+            self._complete(channel, content, result)
 
-    def _piece(self, channel: int, piece: bytes, out: list[Incoming | None]) -> None:
+    def _on_body_frame(self, channel: int, payload: bytes, result: list[Incoming | None]) -> None:
         content = self._contents.get(channel)
         if content is None or content.header is None:
             raise AmqpError(Code.UNEXPECTED_FRAME, "a body without its header")
-        content.got += len(piece)
-        if content.got > content.header.size:
+        content.received_bytes += len(payload)
+        if content.received_bytes > content.header.size:
             raise AmqpError(Code.FRAME_ERROR, "more body than the header told")
-        if content.header.size <= self._most_body:
-            content.parts.append(piece)
-        if content.got == content.header.size:
-            self._whole(channel, content, out)
+        if content.header.size <= self._max_body_bytes:
+            content.parts.append(payload)
+        if content.received_bytes == content.header.size:
+            self._complete(channel, content, result)
 
-    def _whole(self, channel: int, content: _Content, out: list[Incoming | None]) -> None:
+    def _complete(self, channel: int, content: _Content, result: list[Incoming | None]) -> None:
         del self._contents[channel]
         assert content.header
-        large = content.header.size > self._most_body
+        large = content.header.size > self._max_body_bytes
         body = content.parts[0] if len(content.parts) == 1 else b"".join(content.parts)
-        out.append(Incoming(channel, content.method, content.header.properties, body, large))
+        result.append(Incoming(channel, content.method, content.header.properties, body, large))
 
-    def forget(self, channel: int) -> None:
-        """A channel is closed: what had come of a content on it is void."""
+    def discard_content(self, channel: int) -> None:
+        """Discard the incomplete content of a channel that is closed."""
         self._contents.pop(channel, None)
 
     def pending(self) -> bytes:
-        """What has come and is not whole yet, as bytes that give the same when they are fed again."""
-        out = b""
+        """The incomplete input, re-encoded as bytes that restore this state when they are fed again."""
+        result = b""
         for channel, content in self._contents.items():
             if content.header is None:
-                # Only the method has come: written with an empty content, without that content's header.
-                whole = encode_content(channel, content.method, Properties(), b"", 1 << 20)
-                out += whole[: 8 + int.from_bytes(whole[3:7], "big")]
+                # Only the method was received: encode it with an empty content and cut the header off.
+                frames = encode_content(channel, content.method, Properties(), b"", 1 << 20)
+                result += frames[: 8 + int.from_bytes(frames[3:7], "big")]
                 continue
-            body = b"".join(content.parts) if content.parts else bytes(content.got)
-            out += _begun(channel, content, body)
-        return out + bytes(self.decoder.buffer)
+            body = b"".join(content.parts) if content.parts else bytes(content.received_bytes)
+            result += _partial_content(channel, content, body)
+        return result + bytes(self.decoder.buffer)
 
 
-def _begun(channel: int, content: _Content, body: bytes) -> bytes:
-    """A content whose header tells more than `body`: the frames that have come of it."""
+def _partial_content(channel: int, content: _Content, body: bytes) -> bytes:
+    """The frames received so far of a content whose header states a larger size than `body` has."""
     assert content.header
     size = content.header.size
     empty = encode_content(channel, content.method, content.header.properties, b"", 1 << 20)
     first = 8 + int.from_bytes(empty[3:7], "big")
-    # The size stands 4 bytes into the header frame's payload.
+    # The body size is at offset 4 of the header frame's payload.
     head = bytearray(empty)
     head[first + 11 : first + 19] = size.to_bytes(8, "big")
-    out = bytes(head)
+    result = bytes(head)
     for at in range(0, len(body), 4_000):
         part = body[at : at + 4_000]
-        out += b"\x03" + channel.to_bytes(2, "big") + len(part).to_bytes(4, "big") + part + b"\xce"
-    return out
+        result += b"\x03" + channel.to_bytes(2, "big") + len(part).to_bytes(4, "big") + part + b"\xce"
+    return result
--- a/swiftwell/fronts/mqtt/codec.py
+++ b/swiftwell/fronts/mqtt/codec.py
@@ -1,10 +1,9 @@
-"""MQTT packets to and from bytes: versions 5.0 and 3.1.1 (OASIS standards of those names).  No I/O, no
-state but a
-decoder's buffer.  Sections named in comments are of the 5.0 standard.
+"""Encodes and decodes MQTT packets of the versions 5.0 and 3.1.1 (the OASIS standards).
 
-Every length is checked against a bound before anything of it is kept.  What is wrong raises `ProtocolError`
-with the reason
-code that the connection should end with; nothing else is ever raised by `Decoder`.
+No I/O; the only state is a decoder's buffer.  The sections in comments refer to the 5.0 standard.
+
+Every length is checked against a bound before data is kept.  Invalid input raises `ProtocolError` with the
+reason code that should end the connection.  `Decoder` raises no other exception.
 """
 
 from __future__ import annotations
@@ -15,14 +14,14 @@
 from typing import Any
 
 V311, V5 = 4, 5  # protocol levels
-MOST_PACKET = 1 << 18  # bytes of a packet, unless told otherwise
-MOST_PROPERTIES = 64  # properties of a packet, user properties included
-MOST_FILTERS = 64  # topic filters of a SUBSCRIBE or UNSUBSCRIBE
-MOST_ID = 65_535
+MAX_PACKET_BYTES = 1 << 18  # default limit
+MAX_PROPERTIES = 64  # of a packet, including user properties
+MAX_FILTERS = 64  # of a SUBSCRIBE or UNSUBSCRIBE
+MAX_PACKET_ID = 65_535
 
 
 class Reason(IntEnum):
-    """Reason codes (2.4) that are used here."""
+    """Reason codes (2.4), as far as they are used."""
 
     OK = 0x00
     GRANTED_1 = 0x01
@@ -59,7 +58,7 @@
 
 
 class ProtocolError(Exception):
-    """The peer broke the protocol; `reason` ends its connection."""
+    """A protocol violation of the peer; `reason` is the code that ends its connection."""
 
     def __init__(self, reason: Reason, text: str) -> None:
         super().__init__(text)
@@ -91,7 +90,7 @@
 
 @dataclass(slots=True)
 class Will:
-    """What the server publishes for a client that vanishes."""
+    """The message that the server publishes when a client is lost."""
 
     topic: str
     payload: bytes = b""
@@ -104,7 +103,7 @@
 class Connect:
     client_id: str = ""
     clean: bool = True
-    keep_alive: int = 0  # s; 0 is none
+    keep_alive: int = 0  # s; 0: none
     username: str | None = None
     password: bytes | None = None
     will: Will | None = None
@@ -189,7 +188,7 @@
 
 _T = Type
 _ANY = frozenset(Type)
-_WILL = 0  # stands for the will properties of a CONNECT
+_WILL = 0  # pseudo packet type for the will properties of a CONNECT
 _ACKS = frozenset({_T.PUBACK, _T.PUBREC, _T.PUBREL, _T.PUBCOMP})
 _PUB = frozenset({_T.PUBLISH, _WILL})
 # Property identifier: name, type, the packets that may carry it (2.2.2.2).
@@ -227,22 +226,22 @@
     0x2A: ("shared_available", "byte", frozenset({_T.CONNACK})),
 }
 _BY_NAME = {name: (number, kind) for number, (name, kind, _) in _PROPERTIES.items()}
-_NOT_ZERO = frozenset({"receive_maximum", "maximum_packet", "topic_alias", "subscription_id"})
+_NONZERO = frozenset({"receive_maximum", "maximum_packet", "topic_alias", "subscription_id"})
 _FLAGS = frozenset(
     {"payload_format", "request_problem", "request_response", "maximum_qos", "retain_available"}
 ) | {"wildcard_available", "subscription_ids_available", "shared_available"}
 
 
-def _bad(text: str) -> ProtocolError:
+def _malformed(text: str) -> ProtocolError:
     return ProtocolError(Reason.MALFORMED, text)
 
 
-def _wrong(text: str) -> ProtocolError:
+def _protocol_error(text: str) -> ProtocolError:
     return ProtocolError(Reason.PROTOCOL_ERROR, text)
 
 
 class _Reader:
-    """A cursor over one packet; running off its end is malformed."""
+    """A cursor over one packet; reading beyond its end raises ProtocolError."""
 
     __slots__ = ("at", "data", "end")
 
@@ -251,21 +250,21 @@
 
     def byte(self) -> int:
         if self.at >= self.end:
-            raise _bad("the packet is cut short")
+            raise _malformed("the packet is cut short")
         self.at += 1
         return self.data[self.at - 1]
 
     def take(self, count: int) -> bytes:
         start = self.at
         if start + count > self.end:
-            raise _bad("a length goes beyond the packet")
+            raise _malformed("a length goes beyond the packet")
         self.at = start + count
         return self.data[start : self.at]
 
     def two(self) -> int:
         at = self.at
         if at + 2 > self.end:
-            raise _bad("a length goes beyond the packet")
+            raise _malformed("a length goes beyond the packet")
         self.at = at + 2
         return self.data[at] << 8 | self.data[at + 1]
 
@@ -273,7 +272,7 @@
         return int.from_bytes(self.take(4), "big")
 
     def varint(self) -> int:
-        if self.at < self.end and self.data[self.at] < 0x80:  # nearly always
+        if self.at < self.end and self.data[self.at] < 0x80:  # the usual case
             self.at += 1
             return self.data[self.at - 1]
         value = 0
@@ -282,9 +281,9 @@
             value |= (byte & 0x7F) << shift
             if byte < 0x80:
                 if shift and byte == 0:
-                    raise _bad("a variable length is not in its shortest form")
+                    raise _malformed("a variable length is not in its shortest form")
                 return value
-        raise _bad("a variable length is longer than four bytes")
+        raise _malformed("a variable length is longer than four bytes")
 
     def binary(self) -> bytes:
         return self.take(self.two())
@@ -293,28 +292,28 @@
         try:
             value = self.take(self.two()).decode()
         except UnicodeDecodeError:
-            raise _bad("a string is not UTF-8") from None
+            raise _malformed("a string is not UTF-8") from None
         if "\0" in value:
-            raise _bad("a string holds a null character")
+            raise _malformed("a string holds a null character")
         return value
 
     def pair(self) -> tuple[str, str]:
         return self.text(), self.text()
 
-    def left(self) -> int:
+    def bytes_left(self) -> int:
         return self.end - self.at
 
-    def rest(self) -> bytes:
+    def remaining_bytes(self) -> bytes:
         value = self.data[self.at :]
         self.at = self.end
         return value
 
-    def done(self) -> None:
+    def expect_end(self) -> None:
         if self.at != self.end:
-            raise _bad("bytes are left over at the end of a packet")
+            raise _malformed("bytes are left over at the end of a packet")
 
 
-_READ: dict[str, Callable[[_Reader], Any]] = {
+_PROPERTY_READERS: dict[str, Callable[[_Reader], Any]] = {
     "byte": _Reader.byte,
     "two": _Reader.two,
     "four": _Reader.four,
@@ -325,48 +324,48 @@
 }
 
 
-def _properties(reader: _Reader, packet: int) -> Properties:
+def _read_properties(reader: _Reader, packet: int) -> Properties:
     length = reader.varint()
     end = reader.at + length
     if end > reader.end:
-        raise _bad("the properties go beyond the packet")
+        raise _malformed("the properties go beyond the packet")
     if not length:
         return {}
     found: Properties = {}
     count = 0
     while reader.at < end:
         count += 1
-        if count > MOST_PROPERTIES:
-            raise ProtocolError(Reason.QUOTA, f"more than {MOST_PROPERTIES} properties")
+        if count > MAX_PROPERTIES:
+            raise ProtocolError(Reason.QUOTA, f"more than {MAX_PROPERTIES} properties")
         number = reader.varint()
         known = _PROPERTIES.get(number)
         if known is None:
-            raise _bad(f"no property has the identifier {number:#x}")
+            raise _malformed(f"no property has the identifier {number:#x}")
         name, kind, carriers = known
         if packet not in carriers:
-            raise _wrong(f"{name} is not a property of this packet")
-        value = _READ[kind](reader)
+            raise _protocol_error(f"{name} is not a property of this packet")
+        value = _PROPERTY_READERS[kind](reader)
         if name == "user" or (name == "subscription_id" and packet == _T.PUBLISH):
             found.setdefault(name, []).append(value)
             continue
         if name in found:
-            raise _wrong(f"{name} is given twice")
-        if (name in _NOT_ZERO and value == 0) or (name in _FLAGS and value > 1):
-            raise _wrong(f"{name} may not be {value}")
+            raise _protocol_error(f"{name} is given twice")
+        if (name in _NONZERO and value == 0) or (name in _FLAGS and value > 1):
+            raise _protocol_error(f"{name} may not be {value}")
         found[name] = value
     if reader.at != end:
-        raise _bad("a property goes beyond the properties")
+        raise _malformed("a property goes beyond the properties")
     return found
 
 
-def _topic(name: str) -> str:
+def _check_topic(name: str) -> str:
     if not name or "+" in name or "#" in name:
         raise ProtocolError(Reason.TOPIC_INVALID, f"not a topic to publish to: {name[:80]!r}")
     return name
 
 
 def check_filter(text: str) -> None:
-    """Raise ProtocolError unless `text` is a topic filter (4.7), `$share/NAME/` before it allowed."""
+    """Raise ProtocolError unless `text` is a topic filter (4.7); a `$share/NAME/` prefix is allowed."""
     levels = text.split("/")
     if levels[0] == "$share":
         if len(levels) < 3 or not levels[1] or set(levels[1]) & set("+#") or not "/".join(levels[2:]):
@@ -381,7 +380,7 @@
 
 
 def matches(filter_: str, topic: str) -> bool:
-    """Whether a topic falls under a filter (4.7); topics that begin with `$` only under filters that do."""
+    """Whether a topic matches a filter (4.7); a leading wildcard matches no topic that begins with `$`."""
     if topic.startswith("$") and filter_[:1] in "+#":
         return False
     wanted, levels = filter_.split("/"), topic.split("/")
@@ -396,7 +395,7 @@
 def _packet_id(reader: _Reader) -> int:
     number = reader.two()
     if number == 0:
-        raise _wrong("a packet identifier is 0")
+        raise _protocol_error("a packet identifier is 0")
     return number
 
 
@@ -408,62 +407,64 @@
         raise ProtocolError(Reason.VERSION, f"protocol level {version} is not served")
     bits, keep_alive = reader.byte(), reader.two()
     if bits & 1:
-        raise _bad("the reserved connect flag is set")
-    properties = _properties(reader, Type.CONNECT) if version == V5 else {}
+        raise _malformed("the reserved connect flag is set")
+    properties = _read_properties(reader, Type.CONNECT) if version == V5 else {}
     packet = Connect(reader.text(), bool(bits & 2), keep_alive, version=version, properties=properties)
     if bits & 4:
-        will_properties = _properties(reader, _WILL) if version == V5 else {}
+        will_properties = _read_properties(reader, _WILL) if version == V5 else {}
         qos = bits >> 3 & 3
         if qos == 3:
-            raise _bad("the will has QoS 3")
-        packet.will = Will(_topic(reader.text()), reader.binary(), qos, bool(bits & 32), will_properties)
+            raise _malformed("the will has QoS 3")
+        packet.will = Will(
+            _check_topic(reader.text()), reader.binary(), qos, bool(bits & 32), will_properties
+        )
     elif bits & 0x38:
-        raise _bad("flags of a will without a will")
+        raise _malformed("flags of a will without a will")
     if bits & 128:
         packet.username = reader.text()
     if bits & 64:
         if version == V311 and not bits & 128:
-            raise _bad("a password without a user name")
+            raise _malformed("a password without a user name")
         packet.password = reader.binary()
-    reader.done()
+    reader.expect_end()
     return packet
 
 
 def _read_connack(flags: int, reader: _Reader, version: int) -> Connack:
     bits, reason = reader.byte(), reader.byte()
     if bits > 1:
-        raise _bad("reserved flags of a CONNACK are set")
+        raise _malformed("reserved flags of a CONNACK are set")
     packet = Connack(bool(bits), reason)
     if version == V5:
-        packet.properties = _properties(reader, Type.CONNACK)
-    reader.done()
+        packet.properties = _read_properties(reader, Type.CONNACK)
+    reader.expect_end()
     return packet
 
 
 def _read_publish(flags: int, reader: _Reader, version: int) -> Publish:
     qos = flags >> 1 & 3
     if qos == 3:
-        raise _bad("a message has QoS 3")
+        raise _malformed("a message has QoS 3")
     if flags & 8 and not qos:
-        raise _bad("a message of QoS 0 is marked as a duplicate")
+        raise _malformed("a message of QoS 0 is marked as a duplicate")
     topic = reader.text()
     number = _packet_id(reader) if qos else 0
-    properties = _properties(reader, Type.PUBLISH) if version == V5 else {}
+    properties = _read_properties(reader, Type.PUBLISH) if version == V5 else {}
     if topic or "topic_alias" not in properties:
-        _topic(topic)
+        _check_topic(topic)
     if "response_topic" in properties:
-        _topic(properties["response_topic"])
-    return Publish(topic, reader.rest(), qos, bool(flags & 1), bool(flags & 8), number, properties)
+        _check_topic(properties["response_topic"])
+    return Publish(topic, reader.remaining_bytes(), qos, bool(flags & 1), bool(flags & 8), number, properties)
 
 
 def _read_ack(type_: Type) -> Callable[[int, _Reader, int], Ack]:
     def read(flags: int, reader: _Reader, version: int) -> Ack:
         packet = Ack(type_, _packet_id(reader))
-        if version == V5 and reader.left():
+        if version == V5 and reader.bytes_left():
             packet.reason = reader.byte()
-            if reader.left():
-                packet.properties = _properties(reader, type_)
-        reader.done()
+            if reader.bytes_left():
+                packet.properties = _read_properties(reader, type_)
+        reader.expect_end()
         return packet
 
     return read
@@ -472,29 +473,29 @@
 def _read_subscribe(flags: int, reader: _Reader, version: int) -> Subscribe:
     packet = Subscribe(_packet_id(reader), [])
     if version == V5:
-        packet.properties = _properties(reader, Type.SUBSCRIBE)
-    while reader.left():
+        packet.properties = _read_properties(reader, Type.SUBSCRIBE)
+    while reader.bytes_left():
         name, options = reader.text(), reader.byte()
         if options & 3 == 3 or options & (0xC0 if version == V5 else 0xFC) or options >> 4 & 3 == 3:
-            raise _bad("options of a subscription are malformed")
+            raise _malformed("options of a subscription are malformed")
         packet.filters.append((name, options))
-        if len(packet.filters) > MOST_FILTERS:
-            raise ProtocolError(Reason.QUOTA, f"more than {MOST_FILTERS} topic filters")
+        if len(packet.filters) > MAX_FILTERS:
+            raise ProtocolError(Reason.QUOTA, f"more than {MAX_FILTERS} topic filters")
     if not packet.filters:
-        raise _wrong("a SUBSCRIBE without a topic filter")
+        raise _protocol_error("a SUBSCRIBE without a topic filter")
     return packet
 
 
 def _read_unsubscribe(flags: int, reader: _Reader, version: int) -> Unsubscribe:
     packet = Unsubscribe(_packet_id(reader), [])
     if version == V5:
-        packet.properties = _properties(reader, Type.UNSUBSCRIBE)
-    while reader.left():
+        packet.properties = _read_properties(reader, Type.UNSUBSCRIBE)
+    while reader.bytes_left():
         packet.filters.append(reader.text())
-        if len(packet.filters) > MOST_FILTERS:
-            raise ProtocolError(Reason.QUOTA, f"more than {MOST_FILTERS} topic filters")
+        if len(packet.filters) > MAX_FILTERS:
+            raise ProtocolError(Reason.QUOTA, f"more than {MAX_FILTERS} topic filters")
     if not packet.filters:
-        raise _wrong("an UNSUBSCRIBE without a topic filter")
+        raise _protocol_error("an UNSUBSCRIBE without a topic filter")
     return packet
 
 
@@ -502,10 +503,10 @@
     def read(flags: int, reader: _Reader, version: int) -> Suback:
         packet = Suback(type_, _packet_id(reader), [])
         if version == V5:
-            packet.properties = _properties(reader, type_)
-        packet.reasons = list(reader.rest())
-        if len(packet.reasons) > MOST_FILTERS:
-            raise ProtocolError(Reason.QUOTA, f"more than {MOST_FILTERS} reason codes")
+            packet.properties = _read_properties(reader, type_)
+        packet.reasons = list(reader.remaining_bytes())
+        if len(packet.reasons) > MAX_FILTERS:
+            raise ProtocolError(Reason.QUOTA, f"more than {MAX_FILTERS} reason codes")
         return packet
 
     return read
@@ -513,7 +514,7 @@
 
 def _read_ping(type_: Type) -> Callable[[int, _Reader, int], Ping]:
     def read(flags: int, reader: _Reader, version: int) -> Ping:
-        reader.done()
+        reader.expect_end()
         return Ping(type_)
 
     return read
@@ -521,26 +522,26 @@
 
 def _read_disconnect(flags: int, reader: _Reader, version: int) -> Disconnect:
     packet = Disconnect()
-    if version == V5 and reader.left():
+    if version == V5 and reader.bytes_left():
         packet.reason = reader.byte()
-        if reader.left():
-            packet.properties = _properties(reader, Type.DISCONNECT)
-    reader.done()
+        if reader.bytes_left():
+            packet.properties = _read_properties(reader, Type.DISCONNECT)
+    reader.expect_end()
     return packet
 
 
 def _read_auth(flags: int, reader: _Reader, version: int) -> Auth:
     if version != V5:
-        raise _bad("AUTH is no packet of 3.1.1")
+        raise _malformed("AUTH is no packet of 3.1.1")
     packet = Auth()
-    if reader.left():
+    if reader.bytes_left():
         packet.reason = reader.byte()
-        packet.properties = _properties(reader, Type.AUTH)
-    reader.done()
+        packet.properties = _read_properties(reader, Type.AUTH)
+    reader.expect_end()
     return packet
 
 
-_READERS: dict[int, Callable[[int, _Reader, int], Packet]] = {
+_PACKET_READERS: dict[int, Callable[[int, _Reader, int], Packet]] = {
     Type.CONNECT: _read_connect,
     Type.CONNACK: _read_connack,
     Type.PUBLISH: _read_publish,
@@ -561,30 +562,32 @@
 
 
 class Decoder:
-    """Turns a stream of bytes into packets.
+    """Decodes a stream of bytes into packets.
 
-    `version` 0: not known yet, the first packet must be a CONNECT, which tells it.  `most`: bytes a packet
-    may
-    have, fixed header included.
+    With `version` 0, the first packet must be a CONNECT, which determines the version.  `max_packet_bytes`
+    includes the fixed header.
     """
 
-    def __init__(self, version: int = 0, most: int = MOST_PACKET) -> None:
-        self.version, self.most = version, most
+    def __init__(self, version: int = 0, max_packet_bytes: int = MAX_PACKET_BYTES) -> None:
+        self.version, self.max_packet_bytes = version, max_packet_bytes
         self._buffer = bytearray()
-        self._fresh = version == 0
+        self._awaits_connect = version == 0
 
-    def greeted(self, connected: bool) -> None:
-        """Go on where another process was: whether the CONNECT has been seen."""
-        self._fresh = not connected
+    def restore(self, connected: bool) -> None:
+        """Continue the decoder of the previous process; `connected`: the CONNECT has been received."""
+        self._awaits_connect = not connected
 
     def feed(self, data: bytes) -> Iterator[Packet]:
-        """Take bytes; give the packets that are whole.  Raises ProtocolError, after which it is of no use."""
+        """Parse received bytes and yield complete packets.
+
+        Raises ProtocolError, after which the decoder must not be used.
+        """
         buffer = self._buffer
         buffer += data
         start = 0
         try:
             while len(buffer) - start >= 2:
-                # The length is read in place, so that a packet in many pieces is not copied for each.
+                # The length is parsed in place, so that a packet in many parts is not copied for each.
                 length, shift, at = 0, 0, start + 1
                 while True:
                     if at >= len(buffer):
@@ -596,41 +599,41 @@
                         break
                     shift += 7
                     if shift > 21:
-                        raise _bad("the remaining length is longer than four bytes")
+                        raise _malformed("the remaining length is longer than four bytes")
                 if shift and byte == 0:
-                    raise _bad("the remaining length is not in its shortest form")
-                if at - start + length > self.most:
+                    raise _malformed("the remaining length is not in its shortest form")
+                if at - start + length > self.max_packet_bytes:
                     raise ProtocolError(
-                        Reason.TOO_LARGE, f"a packet of {length} bytes; {self.most} are allowed"
+                        Reason.TOO_LARGE, f"a packet of {length} bytes; {self.max_packet_bytes} are allowed"
                     )
-                if self._fresh and buffer[start] != 0x10:
-                    raise _wrong("the first packet is not a CONNECT")
+                if self._awaits_connect and buffer[start] != 0x10:
+                    raise _protocol_error("the first packet is not a CONNECT")
                 if len(buffer) < at + length:
                     return
                 head, body = buffer[start], bytes(buffer[at : at + length])
                 start = at + length
-                yield self._packet(head, body)
+                yield self._decode_packet(head, body)
         finally:
             if start:
                 del buffer[:start]
 
-    def _packet(self, head: int, body: bytes) -> Packet:
+    def _decode_packet(self, head: int, body: bytes) -> Packet:
         type_, flags = head >> 4, head & 15
-        reader = _READERS.get(type_)
+        reader = _PACKET_READERS.get(type_)
         if reader is None:
-            raise _bad("packet type 0")
+            raise _malformed("packet type 0")
         if type_ != Type.PUBLISH and flags != _FIXED_FLAGS.get(type_, 0):  # type: ignore[call-overload]
-            raise _bad("flags of the fixed header are malformed")
-        if type_ == Type.CONNECT and not self._fresh and self.version:
-            raise _wrong("a second CONNECT")
+            raise _malformed("flags of the fixed header are malformed")
+        if type_ == Type.CONNECT and not self._awaits_connect and self.version:
+            raise _protocol_error("a second CONNECT")
         packet = reader(flags, _Reader(body), self.version)
         if isinstance(packet, Connect):
-            self.version, self._fresh = packet.version, False
+            self.version, self._awaits_connect = packet.version, False
         return packet
 
     @property
     def pending(self) -> int:
-        """Bytes kept of a packet that is not whole."""
+        """Number of buffered bytes of an incomplete packet."""
         return len(self._buffer)
 
 
@@ -653,7 +656,7 @@
     return _binary(value.encode())
 
 
-_WRITERS: dict[str, Callable[[Any], bytes]] = {
+_PROPERTY_WRITERS: dict[str, Callable[[Any], bytes]] = {
     "byte": lambda v: bytes((v,)),
     "two": lambda v: v.to_bytes(2, "big"),
     "four": lambda v: v.to_bytes(4, "big"),
@@ -670,9 +673,9 @@
     out = b""
     for name, value in properties.items():
         number, kind = _BY_NAME[name]
-        write = _WRITERS[kind]
-        for one in value if isinstance(value, list) else (value,):
-            out += bytes((number,)) + write(one)
+        write = _PROPERTY_WRITERS[kind]
+        for item in value if isinstance(value, list) else (value,):
+            out += bytes((number,)) + write(item)
     return _varint(len(out)) + out
 
 
@@ -702,7 +705,7 @@
 
 
 def encode(packet: Packet, version: int) -> bytes:
-    """A packet as bytes; raises ValueError for what the protocol can't express."""
+    """Encode a packet; raises ValueError for values that the protocol can't represent."""
     v5 = version == V5
     match packet:
         case Publish():
--- a/swiftwell/fronts/mqtt/connection.py
+++ b/swiftwell/fronts/mqtt/connection.py
@@ -1,6 +1,6 @@
-"""One MQTT connection over a Tornado stream: bytes in and out, bounded both ways.  Shared by every role.
+"""One MQTT connection over a Tornado stream, with bounded input and output.  Used in every role.
 
-It knows no session: packets go to `on_packet`, and whoever holds the session sends through it.
+It holds no session state: received packets go to `on_packet`, and the owner of the session sends through it.
 """
 
 from __future__ import annotations
@@ -21,45 +21,46 @@
     encode,
 )
 
-CHUNK = 65_536  # bytes read at once
+READ_BYTES = 65_536  # per read
 
 
 class Connection:
-    """Reads packets until the stream ends; writes are dropped once it is closed.
+    """Reads packets until the stream ends; writes to a closed connection are dropped.
 
-    `most_out`: bytes that may wait for a peer that does not read; beyond it the connection is closed.
+    `version` is 0 on the server side until the CONNECT is received.  The connection is closed when more than
+    `max_unsent_bytes` wait for a peer that does not read.
     """
 
-    def __init__(self, stream: IOStream, version: int, most_packet: int, most_out: int) -> None:
+    def __init__(self, stream: IOStream, version: int, max_packet_bytes: int, max_unsent_bytes: int) -> None:
         self.stream = stream
-        self.decoder = Decoder(version, most_packet)
-        self.peer_most = 0  # the peer's Maximum Packet Size; 0 is none
-        self.heard = self.spoke = time.monotonic()
+        self.decoder = Decoder(version, max_packet_bytes)
+        self.peer_max_packet_bytes = 0  # Maximum Packet Size of the peer; 0: no limit
+        self.received_at = self.sent_at = time.monotonic()
         self.closed = False
-        self.why = ""  # why it ended, for the log
-        self.connected = False  # the handshake is over
+        self.close_reason = ""  # for the log
+        self.connected = False  # the handshake is complete
         self.server = version == 0
-        stream.max_write_buffer_size = most_out
+        stream.max_write_buffer_size = max_unsent_bytes
 
     @property
     def version(self) -> int:
         return self.decoder.version
 
     async def run(self, on_packet: Callable[[Packet], None]) -> None:
-        """Hand on packets until the end.
+        """Read packets and pass them on until the connection ends.
 
-        A protocol error ends the connection with its reason code; it is the peer's and nobody else's trouble.
+        A protocol error ends this connection only, with the reason code of the error.
         """
         try:
             while not self.closed:
-                data = await self.stream.read_bytes(CHUNK, partial=True)
-                self.heard = time.monotonic()
+                data = await self.stream.read_bytes(READ_BYTES, partial=True)
+                self.received_at = time.monotonic()
                 for packet in self.decoder.feed(data):
                     on_packet(packet)
                     if self.closed:
                         break
         except StreamClosedError:
-            self.why = self.why or "closed by the peer"
+            self.close_reason = self.close_reason or "closed by the peer"
         except ProtocolError as error:
             self.close(error.reason, str(error))
         finally:
@@ -67,29 +68,29 @@
             self.stream.close()
 
     def send(self, packets: Iterable[Packet]) -> None:
-        """Write packets; one larger than the peer takes is left out (3.3.4)."""
+        """Write packets, except for those that exceed the peer's Maximum Packet Size (3.3.4)."""
         if self.closed:
             return
-        blob = b""
+        buffer = b""
         for packet in packets:
             data = encode(packet, self.version)
-            if not self.peer_most or len(data) <= self.peer_most:
-                blob += data
-        if blob:
-            self.spoke = time.monotonic()
+            if not self.peer_max_packet_bytes or len(data) <= self.peer_max_packet_bytes:
+                buffer += data
+        if buffer:
+            self.sent_at = time.monotonic()
             try:
-                # The future is not waited for: the bound on the buffer is the back pressure.
-                self.stream.write(blob)
+                # The future is not awaited: the bounded write buffer provides the back pressure.
+                self.stream.write(buffer)
             except StreamBufferFullError:
-                self.abort("the peer does not read what it is sent")
+                self.abort("the peer does not read; the send buffer is full")
             except StreamClosedError:
                 self.closed = True
 
     def close(self, reason: Reason, text: str) -> None:
-        """End the connection, telling the peer why where its version can be told."""
+        """Close the connection; sends the reason where the protocol version allows it."""
         if self.closed:
             return
-        self.why = self.why or f"{reason.name}: {text}"
+        self.close_reason = self.close_reason or f"{reason.name}: {text}"
         properties = {"reason_string": text[:200]} if text else {}
         if self.version == V5 and self.connected:
             self.send([Disconnect(reason, properties)])
@@ -98,13 +99,13 @@
             if self.version:
                 self.send([Connack(False, code, properties if self.version == V5 else {})])
         self.closed = True
-        # What was just written goes out first; a peer that does not read can't keep the socket.
+        # Pending output gets 0.2 s to be sent, so that a peer that does not read can't keep the socket open.
         self.stream.io_loop.call_later(
             0.2, self.stream.close
         ) if self.stream.writing() else self.stream.close()
 
-    def abort(self, why: str) -> None:
-        """End the connection without a word."""
-        self.why = self.why or why
+    def abort(self, reason: str) -> None:
+        """Close the connection without a packet."""
+        self.close_reason = self.close_reason or reason
         self.closed = True
         self.stream.close()
--- a/swiftwell/fronts/mqtt/contract.py
+++ b/swiftwell/fronts/mqtt/contract.py
@@ -1,9 +1,8 @@
-"""The contract with publishers: an MQTT message as a trigger, and an answer as an MQTT message.  No I/O.
+"""The contract with publishers: converts MQTT messages to triggers and answers to MQTT messages.  No I/O.
 
-Topic: `PREFIX/TENANT/CLASS/FUNCTION`, where FUNCTION may have further levels.  In 5.0 everything else
-stands in
-properties and the payload is the call's own; in 3.1.1 the payload is a JSON envelope.  docs/mqtt.md has it
-whole.
+The topic is `PREFIX/TENANT/CLASS/FUNCTION`, where FUNCTION may have several levels.  With MQTT 5.0, the other
+fields are message properties and the payload is passed to the function; with 3.1.1, the payload is a JSON
+envelope.  docs/mqtt.md documents the contract in full.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 class Rejected(Exception):
-    """A message that can't become a trigger; `reason` goes to the publisher with its acknowledgement."""
+    """A message that is not a valid trigger; `reason` is sent to the publisher in the acknowledgement."""
 
     def __init__(self, reason: Reason, text: str) -> None:
         super().__init__(text)
@@ -37,7 +36,11 @@
 
 @dataclass(slots=True)
 class Ref:
-    """Where an answer goes; `connection` and `id` are the front's, to acknowledge the message."""
+    """Where the answer to a trigger goes.
+
+    The front uses `connection`, a pair (peer, generation), and `id`, the packet identifier, to acknowledge
+    the message.
+    """
 
     version: int
     connection: Any
@@ -47,7 +50,7 @@
     correlation: bytes | str | None
     key: str
     acked: bool = False
-    also: list[Ref] = field(default_factory=list)  # later deliveries of the same message
+    redeliveries: list[Ref] = field(default_factory=list)  # later deliveries of the same message
 
 
 class _Envelope(msgspec.Struct, forbid_unknown_fields=True):
@@ -68,15 +71,15 @@
 
 _decode = msgspec.json.Decoder(_Envelope).decode
 _encode = msgspec.json.Encoder().encode
-_TELLING = frozenset({"response_topic", "correlation_data", "user"})
+_TRIGGER_PROPERTIES = frozenset({"response_topic", "correlation_data", "user"})
 
 
 class Contract:
-    """Reads triggers for one front.
+    """Converts the messages of one front.
 
-    `deadlines_ms`: class to its deadline; `hint`: function to what the settings tell of it; `prefix`: the
-    first topic levels; `direct`: messages come over the publishers' own connections; `alone`: no other
-    gateway runs what these publishers send.
+    `prefix` is the first part of the topic, `deadlines_ms` the deadline of each class, and `hint` returns the
+    settings of a function.  `direct`: messages come over the publishers' own connections.  `alone`: no other
+    gateway runs the calls of these publishers.
     """
 
     def __init__(
@@ -92,21 +95,21 @@
         self._reader = MessageReader(deadlines_ms, hint, direct, alone)
 
     def ref(self, message: Publish, version: int, connection: Any, client: str) -> Ref:
-        """Where an answer to this message goes, as far as it can be read."""
+        """The reference for the answer to a message, from its properties alone."""
         properties = message.properties
-        if not self._direct and version == V5 and not properties.keys() & _TELLING:
-            # Through a broker that speaks 5.0 with us a publisher's 3.1.1 message comes without any property.
+        if not self._direct and version == V5 and not properties.keys() & _TRIGGER_PROPERTIES:
+            # A message that a 3.1.1 publisher sends through a 5.0 broker arrives without any property.
             version = V311
         reply = (
             properties.get("response_topic", "") if version == V5 else f"answers/{client}" if client else ""
         )
-        corr = properties.get("correlation_data")
-        return Ref(version, connection, message.id, message.qos, reply, corr, "")
+        correlation = properties.get("correlation_data")
+        return Ref(version, connection, message.id, message.qos, reply, correlation, "")
 
     def read(self, message: Publish, source: str, ref: Ref, now_ms: float, fresh: bool = True) -> Trigger:
-        """A message as a trigger; completes `ref`.  `fresh`: it can't have waited for us at a broker.
+        """Convert a message to a trigger and complete `ref`.  Raises Rejected.
 
-        Raises Rejected.
+        `fresh`: the message can't have waited at a broker.
         """
         try:
             return self._read(message, source, ref, now_ms, fresh)
@@ -118,26 +121,26 @@
         tenant, request_class, function = parse_address(message.topic, self._prefix, "/")
         if ref.version == V5:
             pairs = message.properties.get("user", [])
-            told, payload = numeric_fields(pairs), message.payload
+            numbers, payload = numeric_fields(pairs), message.payload
             ref.key = next((value for name, value in pairs if name == "key"), "")
         else:
-            told, payload = self._envelope(message, ref)
+            numbers, payload = self._envelope(message, ref)
         expiry = message.properties.get("message_expiry")
-        read = Message(
+        trigger_message = Message(
             tenant,
             request_class,
             function,
             ref.key,
             payload,
-            told,
+            numbers,
             source if self._direct else f"{tenant} {ref.reply}",
             None if expiry is None else expiry * 1_000.0,
             message.dup,
-            # A broker's own mark (DUP) tells only that the same session is given a message again.
+            # DUP from a broker only means that the message is delivered again to the same session.
             self._direct and message.dup,
             fresh,
         )
-        return self._reader.trigger(read, source, ref, now_ms)
+        return self._reader.trigger(trigger_message, source, ref, now_ms)
 
     def _envelope(self, message: Publish, ref: Ref) -> tuple[dict[str, float], bytes]:
         try:
@@ -149,7 +152,7 @@
             if set(envelope.reply) & set("+#\0"):
                 raise Rejected(Reason.TOPIC_INVALID, "reply is not a topic to publish to")
             ref.reply = envelope.reply
-        given = {
+        envelope_fields = {
             "timeout-ms": envelope.timeout_ms,
             "deadline-ms": envelope.deadline_ms,
             "sent-ms": envelope.sent_ms,
@@ -158,35 +161,40 @@
             "attempt": envelope.attempt,
             "unanswered": envelope.unanswered,
         }
-        told = numeric_fields((name, value) for name, value in given.items() if value is not None)
+        numbers = numeric_fields(
+            (name, value) for name, value in envelope_fields.items() if value is not None
+        )
         body = envelope.body
-        return told, body.encode() if isinstance(body, str) else b"" if body is None else _encode(body)
+        return numbers, body.encode() if isinstance(body, str) else b"" if body is None else _encode(body)
 
 
-def answer(ref: Ref, told: Answer) -> Publish | None:
-    """An answer as a message, of QoS 1 where the trigger had more than 0; None where nobody asked for one."""
+def answer(ref: Ref, answer_: Answer) -> Publish | None:
+    """Convert an answer to a message; None if the trigger has no reply topic.
+
+    The QoS is 0 if the trigger had QoS 0, and 1 otherwise.
+    """
     if not ref.reply:
         return None
     qos = min(ref.qos, 1)
     if ref.version == V5:
-        user = answer_fields(told, ref.key)
+        user = answer_fields(answer_, ref.key)
         properties: dict[str, Any] = {"user": user}
         if ref.correlation is not None:
             properties["correlation_data"] = ref.correlation
-        return Publish(ref.reply, told.body, qos, properties=properties)
+        return Publish(ref.reply, answer_.body, qos, properties=properties)
     try:
-        body: Any = told.body.decode()
+        body: Any = answer_.body.decode()
     except UnicodeDecodeError:
-        body = {"base64": told.body}
-    envelope = {"status": told.kind.value, "reason": told.reason, "key": ref.key, "body": body}
-    envelope |= {"correlation": ref.correlation or "", "worker": told.worker}
-    if told.wait_us:
-        envelope["wait_ms"] = -(-told.wait_us // 1_000)
+        body = {"base64": answer_.body}
+    envelope = {"status": answer_.kind.value, "reason": answer_.reason, "key": ref.key, "body": body}
+    envelope |= {"correlation": ref.correlation or "", "worker": answer_.worker}
+    if answer_.wait_us:
+        envelope["wait_ms"] = -(-answer_.wait_us // 1_000)
     return Publish(ref.reply, _encode(envelope), qos)
 
 
-# What the acknowledgement of a refused trigger says (5.0 only; 3.1.1 has no such codes).
-_CODES = {
+# Reason codes in the acknowledgement of a refused trigger (5.0 only; 3.1.1 has no reason codes).
+_REFUSAL_CODES = {
     "no-time-left": Reason.IMPLEMENTATION,
     "unknown-class": Reason.TOPIC_INVALID,
     "key-required": Reason.PAYLOAD_FORMAT,
@@ -196,8 +204,8 @@
 }
 
 
-def code(told: Answer) -> int:
-    """The reason code that acknowledges a trigger with its answer."""
-    if told.kind is not Kind.REFUSED:
+def reason_code(answer_: Answer) -> int:
+    """The reason code of the acknowledgement that follows an answer."""
+    if answer_.kind is not Kind.REFUSED:
         return Reason.OK
-    return _CODES.get(told.reason, Reason.QUOTA)
+    return _REFUSAL_CODES.get(answer_.reason, Reason.QUOTA)
--- a/swiftwell/fronts/mqtt/subscriber.py
+++ b/swiftwell/fronts/mqtt/subscriber.py
@@ -1,5 +1,4 @@
-"""The subscriber: the gateway is a client of a broker, takes triggers from it and publishes answers through
-it."""
+"""The MQTT subscriber: the gateway receives triggers from a broker and publishes answers through it."""
 
 from __future__ import annotations
 
@@ -29,105 +28,106 @@
 )
 from swiftwell.fronts.mqtt.connection import Connection
 from swiftwell.fronts.mqtt.contract import Contract
-from swiftwell.fronts.mqtt.peer import Answers, Peer
+from swiftwell.fronts.mqtt.peer import AnswerRouter, Peer
 from swiftwell.fronts.mqtt.session import SUBSCRIBE_ID, Session, handshake_window
 
-CONNECT_S = 5.0  # s for a connection and its handshake
+CONNECT_TIMEOUT_S = 5.0  # including the handshake
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerLink:
-    """One broker (or several addresses of one), as the settings name it."""
+    """The settings of one broker, which may have several addresses."""
 
     name: str
     addresses: tuple[tuple[str, int], ...]
     client_id: str
-    topics: tuple[str, ...]  # filters to subscribe to
-    share: str = ""  # name of the shared subscription; "" is none
+    topics: tuple[str, ...]  # topic filters to subscribe to
+    share: str = ""  # name of the shared subscription; "": not shared
     version: int = V5
     username: str = ""
     password: str = ""
     keep_alive_s: int = 30
     session_s: int = 3_600
-    receive: int = 256
-    packet: int = 262_144
-    waiting_out: int = 4_194_304
-    answers: int = 10_000
-    open: int = 10_000
+    receive_maximum: int = 256
+    max_packet_bytes: int = 262_144
+    max_unsent_bytes: int = 4_194_304
+    max_answers: int = 10_000
+    max_open: int = 10_000
 
 
-class Subscriber(Answers):
-    """The link to one broker, kept up until `close`."""
+class Subscriber(AnswerRouter):
+    """Keeps a connection to one broker until `close`."""
 
-    def __init__(self, host: Host, contract: Contract, link: BrokerLink, chance: random.Random) -> None:
-        self._host, self.link, self._backoff = host, link, Backoff(chance)
-        session = Session(link.receive, link.answers)
-        self.peer = Peer(host, contract, f"broker:{link.name}", "", session, link.open, bool(link.share))
+    def __init__(self, host: Host, contract: Contract, link: BrokerLink, rng: random.Random) -> None:
+        self._host, self.link, self._backoff = host, link, Backoff(rng)
+        session = Session(link.receive_maximum, link.max_answers)
+        self.peer = Peer(host, contract, f"broker:{link.name}", "", session, link.max_open, bool(link.share))
         self._closing = False
         self._adopted: Connection | None = None
-        self.resting = False  # nothing may be sent now
+        self.handover_paused = False  # nothing may be sent
         self._subscribed = asyncio.Event()
         self.up = False
 
     async def run(self) -> None:
-        """Connect, serve, come back; addresses in turn."""
-        turn = 0
+        """Connect and serve, and reconnect with back-off, until `close`; addresses are tried in turn."""
+        address_number = 0
         while not self._closing:
-            address = self.link.addresses[turn % len(self.link.addresses)]
-            turn += 1
-            began = time.monotonic()
+            address = self.link.addresses[address_number % len(self.link.addresses)]
+            address_number += 1
+            started_at = time.monotonic()
             if self._adopted:
                 connection, self._adopted = self._adopted, None
-                why = await self._serve(connection)
+                reason = await self._read_until_closed(connection)
             else:
-                why = await self._once(address)
+                reason = await self._serve_connection(address)
             if self._closing:
                 return
-            self._backoff.connection_ended(time.monotonic() - began)
-            wait = self._backoff.next_delay_s()
-            self._host.log("warning", "broker-lost", broker=self.link.name,
-            address=f"{address[0]}:{address[1]}",
-            why=why,
-                           again_in_s=round(wait, 2))  # fmt: skip
-            await asyncio.sleep(wait)
+            self._backoff.connection_ended(time.monotonic() - started_at)
+            delay_s = self._backoff.next_delay_s()
+            self._host.log(
+                "warning", "broker-lost", broker=self.link.name, address=f"{address[0]}:{address[1]}",
+                why=reason, again_in_s=round(delay_s, 2),
+            )  # fmt: skip
+            await asyncio.sleep(delay_s)
 
     def adopt(self, connection: Connection, up: bool) -> None:
-        """Go on with a connection that another process had; before `run`."""
+        """Continue a connection of the previous process; called before `run`."""
         self._adopted, self.up = connection, up
         self.peer.connection = connection
         if up:
             self._subscribed.set()
 
-    async def _once(self, address: tuple[str, int]) -> str:
-        """One connection, from its opening to its end; why it ended."""
+    async def _serve_connection(self, address: tuple[str, int]) -> str:
+        """Serve one connection until it ends; returns the reason."""
         link = self.link
         try:
             stream: IOStream = await asyncio.wait_for(
-                TCPClient().connect(address[0], address[1], max_buffer_size=4 * link.packet), CONNECT_S
+                TCPClient().connect(address[0], address[1], max_buffer_size=4 * link.max_packet_bytes),
+                CONNECT_TIMEOUT_S,
             )
         except (OSError, StreamClosedError, TimeoutError) as error:
             return f"no connection: {str(error) or type(error).__name__}"
         stream.set_nodelay(True)
-        connection = Connection(stream, link.version, link.packet, link.waiting_out)
-        connection.send([self._greeting()])
-        return await self._serve(connection)
+        connection = Connection(stream, link.version, link.max_packet_bytes, link.max_unsent_bytes)
+        connection.send([self._connect_packet()])
+        return await self._read_until_closed(connection)
 
-    async def _serve(self, connection: Connection) -> str:
-        keeper = asyncio.create_task(self._keep(connection))
+    async def _read_until_closed(self, connection: Connection) -> str:
+        keep_alive_task = asyncio.create_task(self._check_keep_alive(connection))
         try:
-            await connection.run(lambda packet: self._packet(connection, packet))
+            await connection.run(lambda packet: self._on_packet(connection, packet))
         finally:
-            keeper.cancel()
+            keep_alive_task.cancel()
             self.up = False
             self._subscribed.clear()
             self.peer.detach(connection)
-        return connection.why
+        return connection.close_reason
 
-    def _greeting(self) -> Connect:
+    def _connect_packet(self) -> Connect:
         link = self.link
         properties: dict[str, object] = {}
         if link.version == V5:
-            properties = {"receive_maximum": link.receive, "maximum_packet": link.packet}
+            properties = {"receive_maximum": link.receive_maximum, "maximum_packet": link.max_packet_bytes}
             properties["session_expiry"] = link.session_s
         return Connect(
             link.client_id,
@@ -139,40 +139,40 @@
             properties=properties,
         )
 
-    async def _keep(self, connection: Connection) -> None:
-        """Ping an idle connection, end a silent one."""
-        began = time.monotonic()
+    async def _check_keep_alive(self, connection: Connection) -> None:
+        """Ping an idle connection, and abort a silent one."""
+        started_at = time.monotonic()
         while not connection.closed:
             await asyncio.sleep(min(1.0, self.link.keep_alive_s / 4))
             now = time.monotonic()
-            if self.resting:
+            if self.handover_paused:
                 continue
             if not connection.connected:
-                if now - began > CONNECT_S:
-                    connection.abort("no CONNACK came")
-            elif now - connection.heard > 1.5 * self.link.keep_alive_s:
-                connection.abort("nothing was heard for one and a half keep-alives")
-            elif now - max(connection.spoke, connection.heard) > self.link.keep_alive_s / 2:
+                if now - started_at > CONNECT_TIMEOUT_S:
+                    connection.abort("no CONNACK received")
+            elif now - connection.received_at > 1.5 * self.link.keep_alive_s:
+                connection.abort("no packet for 1.5 keep-alive intervals")
+            elif now - max(connection.sent_at, connection.received_at) > self.link.keep_alive_s / 2:
                 connection.send([Ping(Type.PINGREQ)])
 
-    def _packet(self, connection: Connection, packet: Packet) -> None:
+    def _on_packet(self, connection: Connection, packet: Packet) -> None:
         if not connection.connected:
             if not isinstance(packet, Connack):
                 raise ProtocolError(Reason.PROTOCOL_ERROR, "the first packet is not a CONNACK")
-            self._greeted(connection, packet)
+            self._on_connack(connection, packet)
             return
         match packet:
             case Publish():
-                if packet.retain:  # kept since nobody knows when: not a call of now
-                    self.peer.session.inbox.take(packet)
-                    connection.send(list(self.peer.session.inbox.done(packet.id)))
+                if packet.retain:  # of unknown age, so not a current call
+                    self.peer.session.inbox.receive(packet)
+                    connection.send(list(self.peer.session.inbox.acknowledge(packet.id)))
                     self._host.log("warning", "retained-ignored", topic=packet.topic[:120])
                     return
                 if "topic_alias" in packet.properties:
                     raise ProtocolError(Reason.TOPIC_ALIAS, "no topic alias is allowed")
-                self.peer.message(packet)
+                self.peer.on_publish(packet)
             case Ack():
-                self.peer.acks(packet)
+                self.peer.on_ack(packet)
             case Suback():
                 if any(reason >= 0x80 for reason in packet.reasons):
                     connection.close(
@@ -189,31 +189,31 @@
             case _:
                 raise ProtocolError(Reason.PROTOCOL_ERROR, f"a {type(packet).__name__} from a broker")
 
-    def _greeted(self, connection: Connection, packet: Connack) -> None:
+    def _on_connack(self, connection: Connection, packet: Connack) -> None:
         if packet.reason:
-            connection.abort(f"the broker refused us, reason {packet.reason:#x}")
+            connection.abort(f"the broker refused the connection, reason {packet.reason:#x}")
             return
         connection.connected = True
         outbox = self.peer.session.outbox
         outbox.window = handshake_window(packet.properties)
-        connection.peer_most = packet.properties.get("maximum_packet", 0)
+        connection.peer_max_packet_bytes = packet.properties.get("maximum_packet", 0)
         self.peer.attach(connection)
         group = f"$share/{self.link.share}/" if self.link.share else ""
-        # Retain handling 2: nothing that was retained is sent for the subscription.
+        # Retain handling 2: the broker sends no retained messages on subscribing.
         options = 2 | (0x20 if connection.version == V5 else 0)
         connection.send([Subscribe(SUBSCRIBE_ID, [(group + topic, options) for topic in self.link.topics])])
-        again = outbox.resume() if packet.session_present else outbox.reset()
+        packets = outbox.resume() if packet.session_present else outbox.reset()
         if not packet.session_present:
-            # The broker has forgotten which of our receipts stand; so have its identifiers.
-            self.peer.session.inbox = Session(self.link.receive, 0).inbox
-        connection.send(list(again))
+            # The broker has lost the session: the packet identifiers received before are void.
+            self.peer.session.inbox = Session(self.link.receive_maximum, 0).inbox
+        connection.send(list(packets))
 
     async def subscribed(self) -> None:
-        """Wait until triggers may come."""
+        """Wait until the broker has granted the subscription."""
         await self._subscribed.wait()
 
     def close(self) -> None:
-        """End the link; the broker keeps the session for as long as was agreed."""
+        """End the link; the broker keeps the session until it expires."""
         self._closing = True
         if self.peer.connection:
             self.peer.connection.close(Reason.OK, "")
--- a/swiftwell/gateway/amqp.py
+++ b/swiftwell/gateway/amqp.py
@@ -8,7 +8,7 @@
 from swiftwell.fronts.amqp.consumer import Queue as AmqpQueue
 from swiftwell.fronts.amqp.contract import Contract as AmqpContract
 from swiftwell.fronts.amqp.link import Link as AmqpLink
-from swiftwell.fronts.amqp.redelivery import Redelivered
+from swiftwell.fronts.amqp.redelivery import RedeliveryPolicy
 from swiftwell.fronts.amqp.session import Login
 from swiftwell.fronts.host import Host
 from swiftwell.settings.site import AmqpBroker as AmqpSettings
@@ -36,6 +36,6 @@
     )  # fmt: skip
     return AmqpBroker(
         one.name, tuple(map(host_port, one.address)), login, queues, one.prefetch_least, one.prefetch_most,
-        Redelivered(one.redelivered), one.dead_letter, one.unroutable, one.waiting_answers, one.open_calls,
-        one.waiting_bytes,
+        RedeliveryPolicy(one.redelivered), one.dead_letter, one.unroutable, one.waiting_answers,
+        one.open_calls, one.waiting_bytes,
     )  # fmt: skip
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -209,8 +209,8 @@
                 broker.name, tuple(map(host_port, broker.address)), broker.client_id or site.name,
                 (f"{site.topic}/#",), broker.share, V5 if broker.version == "5.0" else V311,
                 broker.username, broker.password, broker.keep_alive_s, broker.session_s,
-                broker.receive_maximum, broker.packet_bytes, answers=broker.waiting_answers,
-                open=broker.open_calls,
+                broker.receive_maximum, broker.packet_bytes, max_answers=broker.waiting_answers,
+                max_open=broker.open_calls,
             )  # fmt: skip
             self.subscribers.append(Subscriber(self, contract, link, self._chance))
         if site.amqp:  # a tenth of a start, for those who use it
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -25,7 +25,7 @@
 from swiftwell.discovery.roster import Known
 from swiftwell.fronts.amqp import codec
 from swiftwell.fronts.amqp.codec import Properties
-from swiftwell.fronts.amqp.consumer import Claim, Consumer, Out, twin
+from swiftwell.fronts.amqp.consumer import Consumer, OutgoingMessage, PendingAck, message_identity
 from swiftwell.fronts.amqp.contract import Ref as AmqpRef
 from swiftwell.fronts.amqp.link import Link as AmqpLink
 from swiftwell.fronts.mqtt.codec import Publish, Will
@@ -307,9 +307,9 @@
     for callback in [gateway._sweeper, *([gateway.endpoint._sweep] if gateway.endpoint else [])]:
         callback.start() if on else callback.stop()
     for link in (*gateway.subscribers, *gateway.amqp):
-        link.resting = not on
+        link.handover_paused = not on
     for link in gateway.amqp:
-        link.consumer.rest(not on)
+        link.consumer.set_handover_paused(not on)
 
 
 async def freeze(gateway: Gateway, within_s: float) -> None:
@@ -383,7 +383,7 @@
         for client in gateway.endpoint.clients.values():
             one = PeerState("client", client.client, _session_out(client.session), client.generation)
             one.connection = _connection_out(client.connection, add)
-            one.expiry, one.until, one.keep_alive = client.expiry, client.until, client.keep_alive
+            one.expiry, one.until, one.keep_alive = client.expiry, client.expires_at, client.keep_alive
             one.will, one.will_at = client.will, client.will_at
             state.peers.append(one)
         known = {client.connection for client in gateway.endpoint.clients.values()}
@@ -419,36 +419,39 @@
 
 def _amqp_out(link: AmqpLink, add: Any) -> AmqpState:
     consumer, session = link.consumer, link.consumer.session
-    one = AmqpState(link.link.name, generation=consumer.generation, number=consumer._number)
-    one.limit, one.since = consumer.prefetch.limit, consumer.since
-    waiting = [*consumer.outbox, *(out for _, _, out in consumer.later)]
+    one = AmqpState(link.link.name, generation=consumer.generation, number=consumer._last_message_number)
+    one.limit, one.since = consumer.prefetch.limit, consumer.connected_at
+    waiting = [*consumer.outbox, *(out for _, _, out in consumer.delayed_retries)]
     one.outbox = [_out_out(out) for out in waiting]
-    one.flight = [(number, _out_out(out)) for number, out in consumer.flight.items()]
+    one.flight = [(number, _out_out(out)) for number, out in consumer.unconfirmed.items()]
     one.barriers = [
-        [(_trigger_out(claim.trigger), claim.at) for claim in batch] for batch in consumer.barriers
+        [(_trigger_out(claim.trigger), claim.received_at) for claim in batch]
+        for batch in consumer.pending_acks
     ]
-    one.done = [_ref_out(ref) for ref in consumer.twins.values() if ref.acked]
+    one.done = [_ref_out(ref) for ref in consumer.known_triggers.values() if ref.acked]
     if session is None or session.state != "ready" or link.stream is None or link.stream.closed():
         return one  # the other process connects by itself
     one.fd = add(link.stream.socket.fileno())
     parked = b"".join(
         codec.encode_content(event.channel, event.method, event.properties, event.body, session.frame_max)
-        for event in consumer.parked
+        for event in consumer.deferred
         if event.properties
     )
     one.pending = parked + session.wire.pending()
-    one.unsent = _unsent(link.stream) + bytes(session.out)
+    one.unsent = _unsent(link.stream) + bytes(session.send_buffer)
     one.frame_max, one.heartbeat_s = session.frame_max, session.heartbeat_s
     one.channel_max, one.channels = session.channel_max, dict(session.channels)
-    one.can_block, one.can_confirm = session.can_block, session.can_confirm
-    one.confirming, one.up, one.told = consumer._confirming, consumer.up, consumer._told
-    one.blocked, one.paused, one.seq = consumer.blocked, consumer.paused, consumer.seq
+    one.can_block, one.can_confirm = session.supports_blocked, session.supports_confirms
+    one.confirming, one.up, one.told = consumer._can_publish, consumer.up, consumer._announced_prefetch
+    one.blocked, one.paused, one.seq = consumer.blocked, consumer.paused, consumer.publish_seq
     return one
 
 
-def _out_out(out: Out) -> OutState:
+def _out_out(out: OutgoingMessage) -> OutState:
     ref = _ref_out(out.ref) if out.ref else None
-    return OutState(out.kind, out.exchange, out.key, out.properties, out.body, ref, out.tries, out.returned)
+    return OutState(
+        out.kind, out.exchange, out.key, out.properties, out.body, ref, out.attempts, out.returned
+    )
 
 
 def _ref_out(ref: Ref | AmqpRef) -> RefState:
@@ -465,10 +468,10 @@
             ref.correlation,
             ref.key,
             ref.acked,
-            [_ref_out(one) for one in ref.also],
+            [_ref_out(one) for one in ref.redeliveries],
         )
     peer, generation = ref.connection
-    also = [_ref_out(one) for one in ref.also]
+    also = [_ref_out(one) for one in ref.redeliveries]
     return RefState(
         *_peer_key(peer),
         generation,
@@ -510,12 +513,12 @@
 def _session_out(session: Session) -> SessionState:
     box, out = session.inbox, session.outbox
     return SessionState(
-        dict(box._open),
-        sorted(box._received),
+        dict(box._unacknowledged),
+        sorted(box._awaiting_pubrel),
         out.window,
         list(out._waiting),
-        list(out._flight.items()),
-        out._next,
+        list(out._in_flight.items()),
+        out._last_id,
         dict(session.filters),
     )
 
@@ -529,9 +532,9 @@
         bytes(connection.decoder._buffer),
         _unsent(connection.stream),
         connection.connected,
-        connection.peer_most,
-        connection.heard,
-        connection.spoke,
+        connection.peer_max_packet_bytes,
+        connection.received_at,
+        connection.sent_at,
     )
 
 
@@ -596,7 +599,7 @@
     peer: Peer | None = None
     if one.kind == "client" and gateway.endpoint and one.name:
         client = gateway.endpoint.new_client(one.name)
-        client.expiry, client.until, client.keep_alive = one.expiry, one.until, one.keep_alive
+        client.expiry, client.expires_at, client.keep_alive = one.expiry, one.until, one.keep_alive
         client.will, client.will_at = one.will, one.will_at
         peer = client
     elif one.kind == "broker":
@@ -604,10 +607,13 @@
     if peer is None:
         return  # its front is not part of the new settings: its connection ends with the old process
     session = peer.session
-    session.inbox._open, session.inbox._received = dict(one.session.open), set(one.session.received)
+    session.inbox._unacknowledged, session.inbox._awaiting_pubrel = (
+        dict(one.session.open),
+        set(one.session.received),
+    )
     box = session.outbox
     box.window, box._waiting = one.session.window, deque(one.session.waiting)
-    box._flight, box._next = OrderedDict(one.session.flight), one.session.next
+    box._in_flight, box._last_id = OrderedDict(one.session.flight), one.session.next
     session.filters = dict(one.session.filters)
     peer.generation = one.generation
     peers[one.kind, one.name] = peer
@@ -618,51 +624,58 @@
     sock.setblocking(False)
     connection = Connection(IOStream(sock), one.version, most_packet, most_out)
     connection.decoder._buffer = bytearray(one.pending)
-    connection.decoder.version, connection.connected, connection.peer_most = (
+    connection.decoder.version, connection.connected, connection.peer_max_packet_bytes = (
         one.version,
         one.connected,
         one.peer_most,
     )
-    connection.heard, connection.spoke = one.heard or connection.heard, one.spoke or connection.spoke
+    connection.received_at, connection.sent_at = (
+        one.heard or connection.received_at,
+        one.spoke or connection.sent_at,
+    )
     return connection
 
 
 def _amqp_in(gateway: Gateway, link: AmqpLink, one: AmqpState, peers: dict[tuple[str, str], Peer]) -> None:
     consumer = link.consumer
-    consumer.generation, consumer._number = one.generation, one.number
+    consumer.generation, consumer._last_message_number = one.generation, one.number
     consumer.prefetch.limit = consumer.prefetch._bounded(one.limit)
     for told in one.done:
         ref = _ref_in(told, peers, gateway)
         assert isinstance(ref, AmqpRef)
-        consumer.twins[twin(ref)] = ref
+        consumer.known_triggers[message_identity(ref)] = ref
     consumer.outbox = deque(_out_in(out, consumer, peers, gateway) for out in one.outbox)
     flight = [(number, _out_in(out, consumer, peers, gateway)) for number, out in one.flight]
     for batch in one.barriers:
-        claims = [Claim(_trigger_in(told, peers, gateway), at) for told, at in batch]
+        claims = [PendingAck(_trigger_in(told, peers, gateway), at) for told, at in batch]
         for claim in claims:
-            consumer.waits_again(claim.trigger.ref)  # type: ignore[arg-type]
-        consumer.barriers.append(claims)
-    consumer.flight = OrderedDict(flight)
+            consumer.restore_open_trigger(claim.trigger.ref)  # type: ignore[arg-type]
+        consumer.pending_acks.append(claims)
+    consumer.unconfirmed = OrderedDict(flight)
     if one.fd < 0:
-        consumer._lost_publishing()
+        consumer._reset_publish_channel()
         return
     session = consumer.connected()
-    session.out.clear()
+    session.send_buffer.clear()
     session.state, session.channels = "ready", dict(one.channels)
-    session.frame_max = session.wire.decoder.most = one.frame_max
+    session.frame_max = session.wire.decoder.max_frame_bytes = one.frame_max
     session.heartbeat_s, session.channel_max = one.heartbeat_s, one.channel_max
-    session.can_block, session.can_confirm = one.can_block, one.can_confirm
-    consumer._confirming, consumer.up, consumer._told = one.confirming, one.up, one.told
+    session.supports_blocked, session.supports_confirms = one.can_block, one.can_confirm
+    consumer._can_publish, consumer.up, consumer._announced_prefetch = one.confirming, one.up, one.told
     consumer.blocked, consumer.paused = one.blocked, one.paused
-    consumer.seq, consumer.since = one.seq, one.since
+    consumer.publish_seq, consumer.connected_at = one.seq, one.since
 
 
-def _out_in(one: OutState, consumer: Consumer, peers: dict[tuple[str, str], Peer], gateway: Gateway) -> Out:
+def _out_in(
+    one: OutState, consumer: Consumer, peers: dict[tuple[str, str], Peer], gateway: Gateway
+) -> OutgoingMessage:
     ref = _ref_in(one.ref, peers, gateway) if one.ref else None
     assert ref is None or isinstance(ref, AmqpRef)
     if ref:
-        consumer.twins[twin(ref)] = ref
-    return Out(one.kind, one.exchange, one.key, one.properties, one.body, ref, one.tries, one.returned)
+        consumer.known_triggers[message_identity(ref)] = ref
+    return OutgoingMessage(
+        one.kind, one.exchange, one.key, one.properties, one.body, ref, one.tries, one.returned
+    )
 
 
 def _ref_in(one: RefState, peers: dict[tuple[str, str], Peer], gateway: Gateway) -> Ref | AmqpRef:
@@ -676,13 +689,13 @@
             bool(one.qos),
             one.acked,
         )
-        amqp.also = [_ref_in(also, peers, gateway) for also in one.also]  # type: ignore[misc]
+        amqp.redeliveries = [_ref_in(also, peers, gateway) for also in one.also]  # type: ignore[misc]
         return amqp
     peer = peers.get((one.kind, one.name)) or gateway.nobody()
     ref = Ref(
         one.version, (peer, one.generation), one.id, one.qos, one.reply, one.correlation, one.key, one.acked
     )
-    ref.also = [_ref_in(also, peers, gateway) for also in one.also]
+    ref.redeliveries = [_ref_in(also, peers, gateway) for also in one.also]
     return ref
 
 
@@ -705,7 +718,7 @@
         call.waiters.append(Waiter(trigger, 0, until))
         engine._calls_by_source.setdefault(trigger.source, {})[call.id] = None
         peer: Peer = trigger.ref.connection[0]  # type: ignore[attr-defined]
-        peer.waits_again(trigger.ref)  # type: ignore[arg-type]
+        peer.restore_open_trigger(trigger.ref)  # type: ignore[arg-type]
     engine._calls[call.id] = call
 
 
@@ -737,7 +750,9 @@
                 connection.stream.write(one.connection.unsent)
         for s in gateway.subscribers:
             if one.kind == "broker" and s.link.name == one.name:
-                connection = _connection_in(one.connection, fds, s.link.packet, s.link.waiting_out)
+                connection = _connection_in(
+                    one.connection, fds, s.link.max_packet_bytes, s.link.max_unsent_bytes
+                )
                 s.adopt(connection, one.up)
                 if one.connection.unsent:
                     connection.stream.write(one.connection.unsent)
@@ -754,13 +769,13 @@
 def _amqp_adopt(link: AmqpLink, one: AmqpState, fds: list[int]) -> None:
     sock = socket.socket(fileno=os.dup(fds[one.fd]))
     sock.setblocking(False)
-    stream = IOStream(sock, max_write_buffer_size=link.link.waiting_out)
+    stream = IOStream(sock, max_write_buffer_size=link.link.max_unsent_bytes)
     link.adopt(stream)
     if one.unsent:
         stream.write(one.unsent)
     session = link.consumer.session
     if one.pending and session:
-        link._take(session, one.pending)
+        link._on_data(session, one.pending)
 
 
 def _job_in(gateway: Gateway, one: JobState, fds: list[int]) -> None:
--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -14,7 +14,7 @@
 
 from swiftwell.fronts import trigger as tr
 from swiftwell.fronts.amqp.prefetch import TICK_US, Prefetch
-from swiftwell.fronts.amqp.redelivery import Delivered, Redelivered, may_have_run
+from swiftwell.fronts.amqp.redelivery import Delivery, RedeliveryPolicy, may_have_run
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 from swiftwell.interface import Effect
 from swiftwell.lab import constants as c
@@ -274,7 +274,7 @@
             return
         running, waiting = self.gateway.engine.load()
         ended, self.ended = self.ended, 0
-        self.prefetch.look(self.broker.world.now, self.open, running, waiting, ended)
+        self.prefetch.update(self.broker.world.now, self.open, running, waiting, ended)
         self.told = max(1, self.prefetch.limit - self.claimed)
         self.broker.world.after(TICK_US, self.look, life)
         if self.up:
@@ -387,7 +387,7 @@
         consumer.twins[message.corr] = origin
         age = self.world.now - message.sent_us
         link = self.world.now - consumer.since
-        doubt = may_have_run(Delivered(redelivered, age, link), self._alone, Redelivered.KNOWN)
+        doubt = may_have_run(Delivery(redelivered, age, link), self._alone, RedeliveryPolicy.KNOWN)
         found = trigger(origin, "amqp:plant", redelivered, not safe and doubt, self._alone)
         if safe:
             gateway.submit(found)
--- a/swiftwell/settings/site.py
+++ b/swiftwell/settings/site.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from swiftwell import interface as io
-from swiftwell.fronts.amqp.redelivery import Redelivered
+from swiftwell.fronts.amqp.redelivery import RedeliveryPolicy
 from swiftwell.fronts.message_reader import FunctionHint
 from swiftwell.settings.document import Node, SettingsError, parse, text_of
 from swiftwell.settings.schema import Reader, setting
@@ -198,7 +198,7 @@
     prefetch_most: int = setting(2_000, low=1, high=65_535, doc="and at most; equal to the least it is fixed")
     redelivered: str = setting(
         "known",
-        choice=tuple(one.value for one in Redelivered),
+        choice=tuple(one.value for one in RedeliveryPolicy),
         doc="triggers with effects that were delivered before: run what is known not to have run, or never",
     )
     dead_letter: str = setting("", low=0, high=255, doc="exchange for what can't be read, with the reason")
--- a/swiftwell/standins/amqp.py
+++ b/swiftwell/standins/amqp.py
@@ -235,8 +235,8 @@
         why = "closed by the client"
         try:
             greeting = await stream.read_bytes(8)
-            if greeting != codec.GREETING:
-                await stream.write(codec.GREETING)  # 4.2.2: told which version is spoken, and closed
+            if greeting != codec.PROTOCOL_HEADER:
+                await stream.write(codec.PROTOCOL_HEADER)  # 4.2.2: told which version is spoken, and closed
                 return
             properties = {"product": "stand-in", "capabilities": CAPABILITIES}
             connection.send(0, codec.Start(0, 9, properties, b"PLAIN AMQPLAIN", b"en_US"))
@@ -293,7 +293,7 @@
         try:
             self._on_channel(channel, one)
         except AmqpError as error:
-            if not error.soft:
+            if not error.ends_channel_only:
                 raise
             error.method = one.method.id
             self._close_channel(channel, error)
@@ -303,7 +303,7 @@
         self._end_channel(channel)
         channel.closing = True
         channel.connection.channels[channel.number] = channel
-        channel.connection.wire.forget(channel.number)
+        channel.connection.wire.discard_content(channel.number)
         close = codec.ChannelClose(int(error.code), str(error)[:200], *error.method)
         channel.connection.send(channel.number, close)
 
@@ -326,7 +326,7 @@
                 self._login(connection, method)
             case codec.TuneOk(), "tune":
                 connection.frame_max = min(method.frame_max or FRAME_MAX, FRAME_MAX)
-                connection.wire.decoder.most = connection.frame_max
+                connection.wire.decoder.max_frame_bytes = connection.frame_max
                 connection.heartbeat_s = method.heartbeat
                 connection.state = "open"
             case codec.Open(), "open":
--- a/swiftwell/standins/amqp_publishers.py
+++ b/swiftwell/standins/amqp_publishers.py
@@ -26,10 +26,10 @@
     async def _open(self, number: int, host: str, port: int) -> None:
         try:
             await self._clients[number].connect(host, port)
-            await self._clients[number].reply_queue(f"answers/{self._name}-{number}")
+            await self._clients[number].declare_reply_queue(f"answers/{self._name}-{number}")
         except Refused as error:
             # A reply queue of a connection that the broker has not missed yet, for instance.
-            self._clients[number].drop()
+            self._clients[number].abort()
             raise OSError(str(error)) from None
 
     def _send(self, call: Call, corr: str, number: int, attempt: int, patience: float) -> None:
@@ -70,7 +70,7 @@
         key, properties, body = self._amqp(call, corr, number, attempt, patience)
         client.publish(self.exchange, key, properties, body)
         await asyncio.sleep(self._chance.uniform(0.01, 0.1))
-        client.drop()
+        client.abort()
         return "left"
 
     def _message_in(self, event: Incoming) -> None:
--- a/swiftwell/standins/broker.py
+++ b/swiftwell/standins/broker.py
@@ -179,7 +179,7 @@
             will = packet.will
             properties = {name: value for name, value in will.properties.items() if name != "will_delay"}
             client.will = Publish(will.topic, will.payload, will.qos, properties=properties)
-        connection.peer_most = packet.properties.get("maximum_packet", 0)
+        connection.peer_max_packet_bytes = packet.properties.get("maximum_packet", 0)
         connection.connected = True
         told: dict[str, object] = {"receive_maximum": RECEIVE, "retain_available": 0} if v5 else {}
         if v5 and not packet.client_id:
@@ -198,19 +198,19 @@
             case Publish():
                 if packet.retain:
                     raise ProtocolError(Reason.RETAIN, "nothing is retained here")
-                fresh, now = client.session.inbox.take(packet)
+                fresh, now = client.session.inbox.receive(packet)
                 connection.send(list(now))
                 if fresh:
                     self.trace.note("from", client=client.id, **_seen(packet))
                     found = self.route(packet)
                     reason = Reason.OK if found or connection.version != V5 else Reason.NO_SUBSCRIBERS
-                    connection.send(list(client.session.inbox.done(packet.id, reason)))
+                    connection.send(list(client.session.inbox.acknowledge(packet.id, reason)))
             case Ack() if packet.type is Type.PUBREL:
-                connection.send(list(client.session.inbox.released(packet)))
+                connection.send(list(client.session.inbox.on_pubrel(packet)))
             case Ack():
                 if self._has("lose_acks") or self._has("duplicate"):
                     return
-                connection.send(list(client.session.outbox.acked(packet)))
+                connection.send(list(client.session.outbox.on_ack(packet)))
                 self._flow(client)
             case Ping() if packet.type is Type.PINGREQ:
                 connection.send([Ping(Type.PINGRESP)])
@@ -246,7 +246,7 @@
         client.connection = None
         client.session.inbox.disconnected()
         client.until = time.monotonic() + client.expiry
-        self.trace.note("client", client=client.id, state="down", why=connection.why)
+        self.trace.note("client", client=client.id, state="down", why=connection.close_reason)
         will, client.will = client.will, None
         if will:
             self.route(will)
@@ -299,7 +299,7 @@
                     self.trace.note("expired", client=client.id, **_seen(message))
                     continue
                 message.properties["message_expiry"] = max(1, int(left))
-            _, now = client.session.outbox.put(message)
+            _, now = client.session.outbox.enqueue(message)
             for one in now:
                 self._note_delivery(client, one)
             client.connection.send(list(now))
@@ -317,7 +317,7 @@
         now = time.monotonic()
         for client in list(self._clients.values()):
             connection = client.connection
-            if connection and client.keep_alive and now - connection.heard > 1.5 * client.keep_alive:
+            if connection and client.keep_alive and now - connection.received_at > 1.5 * client.keep_alive:
                 connection.close(Reason.KEEP_ALIVE, "silent")
             elif not connection and now > client.until and self._clients.get(client.id) is client:
                 del self._clients[client.id]
--- a/swiftwell/standins/publishers.py
+++ b/swiftwell/standins/publishers.py
@@ -242,7 +242,7 @@
         self.trace.note("left", corr=corr)
         client.publish(self._message(call, corr, number, attempt, patience))
         await asyncio.sleep(self._chance.uniform(0.01, 0.1))
-        client.drop()
+        client.abort()
         return "left"
 
     def _message(self, call: Call, corr: str, number: int, attempt: int, patience: float) -> Publish:
--- a/tests/amqpbench.py
+++ b/tests/amqpbench.py
@@ -65,7 +65,7 @@
     async def connect(self, port, reply=True):
         await self.client.connect("127.0.0.1", port)
         if reply:
-            await self.client.reply_queue(self.reply)
+            await self.client.declare_reply_queue(self.reply)
         return self
 
     def publish(
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -120,17 +120,17 @@
         async with broker() as b, raw_worker(keyed(calls)) as w:
             holder = Client("holder")  # a gateway that dies with a trigger in hand
             async with consuming(tmp_path, b.port, [w], extra="gateways 2\n") as gw:
-                gw.amqp[0].consumer.since -= 3_600
+                gw.amqp[0].consumer.connected_at -= 3_600
                 asker = await Asker().connect(b.port)
                 gw.amqp[0].consumer.session.send(1, codec.Cancel("b-0"))
                 gw.amqp[0]._flush()
                 await holder.connect("127.0.0.1", b.port)
-                await holder.ask(codec.Consume(0, "calls", "held"))
+                await holder.request(codec.Consume(0, "calls", "held"))
                 corr = asker.publish("consigna", "k")
                 await settle(lambda: unacked(b) == 1)
                 gw.amqp[0].consumer.session.send(1, codec.Consume(0, "calls", "b-0"))
                 gw.amqp[0]._flush()
-                holder.drop()
+                holder.abort()
                 assert await asker.answer(corr) == ("served", "ok")
                 assert calls == ["k"] and gw.amqp[0].consumer.counts.redelivered == 1
 
@@ -210,7 +210,7 @@
                 if connection.name == "gw":
                     connection.write = lambda data: None
             await settle(lambda: gw.amqp[0].stream is not first and gw.amqp[0].consumer.up, 8)
-            assert "nothing was heard for two heartbeats" in gw.lines.getvalue()
+            assert "no input for two heartbeat intervals" in gw.lines.getvalue()
             assert await asker.answer(corr) == ("served", "ok")
             await settle(lambda: not unacked(b))
 
@@ -295,7 +295,7 @@
             await settle(lambda: gw.amqp[0].consumer.counts.redelivered >= 4_000, 25)
             # Those whose call is still open joined it; none was taken as a new call.
             counts = gw.amqp[0].consumer.counts
-            assert counts.twins == counts.redelivered and gw.engine.counts["calls"] == open_before
+            assert counts.duplicates == counts.redelivered and gw.engine.counts["calls"] == open_before
             gate.set()
 
     run(main())
@@ -343,15 +343,15 @@
         async with broker() as b:
             client = Client("twice")
             await client.connect("127.0.0.1", b.port)
-            await client.ask(codec.QueueDeclare(0, "q"))
-            await client.ask(codec.Consume(0, "q", "c"))
+            await client.request(codec.QueueDeclare(0, "q"))
+            await client.request(codec.Consume(0, "q", "c"))
             client.publish("", "q", Properties(), b"x")
             await settle(lambda: unacked(b) == 1)
             for _ in range(2):
                 client.session.send(1, codec.Ack(1))
             client._flush(client.connection)
             await settle(lambda: client.connection is None)
-            assert "406" in client._why and "unknown delivery tag 1" in client._why
+            assert "406" in client._close_reason and "unknown delivery tag 1" in client._close_reason
 
     run(main())
 
@@ -401,9 +401,9 @@
         async with broker() as b, raw_worker(serving) as w, consuming(tmp_path, b.port, [w], queue=queue):
             reader, got = Client("reader", on_message=lambda event: got.append(event)), []
             await reader.connect("127.0.0.1", b.port)
-            await reader.ask(codec.QueueDeclare(0, "letters"))
-            await reader.ask(codec.QueueBind(0, "letters", "dead", "#"))
-            await reader.ask(codec.Consume(0, "letters", "c", no_ack=True))
+            await reader.request(codec.QueueDeclare(0, "letters"))
+            await reader.request(codec.QueueBind(0, "letters", "dead", "#"))
+            await reader.request(codec.Consume(0, "letters", "c", no_ack=True))
             asker = await Asker().connect(b.port)
             corr = asker.publish(to="calls.t.lectura")
             assert await asker.answer(corr) == ("refused", "malformed")
@@ -421,10 +421,10 @@
         queue = '"calls" exchange="calls"; unroutable "unasked"'
         async with broker() as b, raw_worker(slow) as w, consuming(tmp_path, b.port, [w], queue=queue) as gw:
             asker = await Asker().connect(b.port)
-            await asker.client.ask(codec.QueueDeclare(0, "unasked", durable=True))
+            await asker.client.request(codec.QueueDeclare(0, "unasked", durable=True))
             asker.publish("consigna", "k")
             await settle(lambda: gw.engine.counts["calls"] == 1)
-            asker.client.drop()
+            asker.client.abort()
             await settle(lambda: len(b.queues["unasked"].ready) == 1)
             assert b.queues["unasked"].ready[0].properties.headers["x-swiftwell-reply-to"] == asker.reply
             assert "answer-unroutable" in gw.lines.getvalue()
@@ -441,13 +441,13 @@
             async with gateway(tmp_path, [w], extra=node(b.port, queue=queue)) as gw:
                 await settle(lambda: "no queue 'made'" in gw.lines.getvalue())
                 asker = await Asker().connect(b.port)
-                await asker.client.ask(codec.QueueDeclare(0, "made", durable=True))
+                await asker.client.request(codec.QueueDeclare(0, "made", durable=True))
                 await up(gw)
                 corr = asker.publish(to="made", exchange="", tenant="t", function="f", **{"class": "lectura"})
                 assert await asker.answer(corr) == ("served", "ok")
                 b.fault("delete", queue="made")
                 await up(gw, False)
-                await asker.client.ask(codec.QueueDeclare(0, "made", durable=True))
+                await asker.client.request(codec.QueueDeclare(0, "made", durable=True))
                 await up(gw)
                 corr = asker.publish(to="made", exchange="", tenant="t", function="f", **{"class": "lectura"})
                 assert await asker.answer(corr) == ("served", "ok")
--- a/tests/test_amqp_codec.py
+++ b/tests/test_amqp_codec.py
@@ -155,17 +155,17 @@
 
 
 def test_tables_are_bounded_in_depth_and_fields():
-    good = encode(1, codec.QueueDeclare(arguments=deep(codec.MOST_DEPTH)))
+    good = encode(1, codec.QueueDeclare(arguments=deep(codec.MAX_DEPTH)))
     assert Decoder().feed(good)
     with pytest.raises(ValueError, match="nested"):
-        encode(1, codec.QueueDeclare(arguments=deep(codec.MOST_DEPTH + 1)))
+        encode(1, codec.QueueDeclare(arguments=deep(codec.MAX_DEPTH + 1)))
     bad = b""
     for _ in range(40):
         bad = b"\x01aF" + len(bad).to_bytes(4, "big") + bad
     head = codec._IDS.pack(50, 10) + b"\0\0\0\0" + len(bad).to_bytes(4, "big")
     with pytest.raises(AmqpError, match="nested"):
         Decoder().feed(codec._frame(codec.METHOD, 1, head + bad))
-    many = {f"f{n}": None for n in range(codec.MOST_FIELDS + 1)}
+    many = {f"f{n}": None for n in range(codec.MAX_FIELDS + 1)}
     with pytest.raises(AmqpError, match="fields"):
         Decoder().feed(encode(1, codec.QueueDeclare(arguments=many)))
     for wrong in ({"a": object()}, {"a": Decimal("1E+5")}, {"x" * 256: 1}):
@@ -178,7 +178,7 @@
     [
         encode(1, codec.Deliver()) + encode(1, codec.QosOk()),  # a method within a content
         codec._frame(codec.BODY, 1, b"x"),  # a body of nothing
-        codec._frame(codec.HEADER, 1, codec._put_header(codec.Header(1, Properties()))),
+        codec._frame(codec.HEADER, 1, codec._encode_header(codec.Header(1, Properties()))),
         encode_content(1, codec.Deliver(), Properties(), b"", 4_096)[:-1] + b"\xce"
         + codec._frame(codec.BODY, 1, b"x"),
     ],
@@ -191,7 +191,7 @@
 
 def test_more_body_than_was_told_ends_the_connection():
     raw = encode(1, codec.Deliver()) + codec._frame(
-        codec.HEADER, 1, codec._put_header(codec.Header(3, Properties()))
+        codec.HEADER, 1, codec._encode_header(codec.Header(3, Properties()))
     )
     with pytest.raises(AmqpError, match="more body"):
         Wire(4_096, 100).feed(raw + codec._frame(codec.BODY, 1, b"four"))
--- a/tests/test_amqp_decisions.py
+++ b/tests/test_amqp_decisions.py
@@ -7,10 +7,10 @@
 from swiftwell.fronts import trigger as tr
 from swiftwell.fronts.amqp import codec
 from swiftwell.fronts.amqp.codec import Properties
-from swiftwell.fronts.amqp.consumer import CONSUME, PUBLISH, TRIES, BrokerLink, Consumer, Queue
+from swiftwell.fronts.amqp.consumer import CONSUME, MAX_PUBLISH_ATTEMPTS, PUBLISH, BrokerLink, Consumer, Queue
 from swiftwell.fronts.amqp.contract import Contract
-from swiftwell.fronts.amqp.prefetch import FIRST, LINE_LEAST, LINE_S, TICK_US, Prefetch
-from swiftwell.fronts.amqp.redelivery import SLACK_US, Delivered, Redelivered, may_have_run
+from swiftwell.fronts.amqp.prefetch import BACKLOG_S, INITIAL_LIMIT, MIN_BACKLOG, TICK_US, Prefetch
+from swiftwell.fronts.amqp.redelivery import SLACK_US, Delivery, RedeliveryPolicy, may_have_run
 from swiftwell.fronts.amqp.session import Blocked, ChannelEnded, Login, Ready
 from swiftwell.fronts.amqp.wire import Incoming, Wire
 from swiftwell.fronts.message_reader import FunctionHint, InvalidMessage
@@ -36,7 +36,7 @@
         start = min(waiting, capacity - len(running))
         running += [work] * start
         waiting -= start
-        prefetch.look(now, len(running) + waiting, len(running), waiting, ended)
+        prefetch.update(now, len(running) + waiting, len(running), waiting, ended)
         held.append(len(running) + waiting)
     return held, now
 
@@ -46,10 +46,10 @@
     prefetch = Prefetch()
     held, _ = play(prefetch, capacity, 20)
     settled = held[len(held) // 2 :]
-    assert min(settled) >= 0.9 * min(capacity, max(FIRST, capacity))
+    assert min(settled) >= 0.9 * min(capacity, max(INITIAL_LIMIT, capacity))
     # What is held beyond what runs ends within the line's time and a quarter of it, or is the least there is.
     pace = capacity / 0.25  # triggers a second: each takes five looks
-    assert max(settled) <= max(FIRST + LINE_LEAST, capacity + 1.25 * pace * LINE_S + LINE_LEAST)
+    assert max(settled) <= max(INITIAL_LIMIT + MIN_BACKLOG, capacity + 1.25 * pace * BACKLOG_S + MIN_BACKLOG)
 
 
 def test_a_limit_that_is_not_used_falls_back_and_grows_again():
@@ -57,7 +57,7 @@
     _, now = play(prefetch, 500, 10)
     assert prefetch.limit > 400
     _, now = play(prefetch, 500, 4, backlog=False, now=now)
-    assert prefetch.limit == FIRST
+    assert prefetch.limit == INITIAL_LIMIT
     held, _ = play(prefetch, 500, 3, now=now)
     assert max(held[:20]) >= 300  # a second is enough to be back
 
@@ -84,8 +84,8 @@
     """At a cold start all wait for copies: the limit stays where functions are found out."""
     prefetch = Prefetch()
     for look in range(40):
-        prefetch.look(look * TICK_US, FIRST, 0, FIRST, 0)
-    assert prefetch.limit >= FIRST
+        prefetch.update(look * TICK_US, INITIAL_LIMIT, 0, INITIAL_LIMIT, 0)
+    assert prefetch.limit >= INITIAL_LIMIT
 
 
 def test_what_may_have_waited_at_the_broker_is_not_taken_for_skew():
@@ -115,12 +115,12 @@
 @pytest.mark.parametrize(
     ("told", "alone", "allowed", "doubt"),
     [
-        (Delivered(False, None, 0), False, Redelivered.NEVER, False),
-        (Delivered(True, None, 0), True, Redelivered.NEVER, False),
-        (Delivered(True, 0, 1 << 60), False, Redelivered.NEVER, True),
-        (Delivered(True, None, 1 << 60), False, Redelivered.KNOWN, True),
-        (Delivered(True, 1_000_000, 1_000_000 + SLACK_US), False, Redelivered.KNOWN, False),
-        (Delivered(True, 1_000_000, 999_999 + SLACK_US), False, Redelivered.KNOWN, True),
+        (Delivery(False, None, 0), False, RedeliveryPolicy.NEVER, False),
+        (Delivery(True, None, 0), True, RedeliveryPolicy.NEVER, False),
+        (Delivery(True, 0, 1 << 60), False, RedeliveryPolicy.NEVER, True),
+        (Delivery(True, None, 1 << 60), False, RedeliveryPolicy.KNOWN, True),
+        (Delivery(True, 1_000_000, 1_000_000 + SLACK_US), False, RedeliveryPolicy.KNOWN, False),
+        (Delivery(True, 1_000_000, 999_999 + SLACK_US), False, RedeliveryPolicy.KNOWN, True),
     ],
 )
 def test_a_redelivered_effect_runs_only_if_no_acknowledgement_can_be_lost(told, alone, allowed, doubt):
@@ -246,10 +246,10 @@
 
     def connect(self):
         self.session = self.consumer.connected()
-        self.session.state, self.session.can_confirm, self.session.frame_max = "ready", True, 131_072
-        self.session.out.clear()
+        self.session.state, self.session.supports_confirms, self.session.frame_max = "ready", True, 131_072
+        self.session.send_buffer.clear()
         self.wire = Wire(131_072, 1 << 20)
-        self.consumer.event(Ready())
+        self.consumer.on_event(Ready())
         for channel in (CONSUME, PUBLISH):
             self.session.channels[channel] = "open"
             self.give(codec.ChannelOpenOk(), channel)
@@ -259,7 +259,7 @@
         self.sent()
 
     def give(self, method, channel=CONSUME, properties=None, body=b""):
-        self.consumer.event(Incoming(channel, method, properties, body))
+        self.consumer.on_event(Incoming(channel, method, properties, body))
         self.consumer.after_batch()
 
     def deliver(self, request_class="lectura", key="", corr="", again=False, body=b"x", **more):
@@ -272,7 +272,7 @@
 
     def sent(self):
         """What went out since the last look."""
-        return [one.method for one in self.wire.feed(self.session.take()) if one is not None]
+        return [one.method for one in self.wire.feed(self.session.take_send_buffer()) if one is not None]
 
     def reply(self, number=-1, kind=Kind.SERVED):
         self.consumer.replied(self.host.triggers[number], Answer(kind, "ok"))
@@ -314,20 +314,20 @@
     bench = Bench(alone=False)
     bench.deliver("consigna", "k", "c")
     bench.consumer.disconnected()
-    assert bench.host.triggers == [] and bench.consumer.open == 0
+    assert bench.host.triggers == [] and bench.consumer.open_triggers == 0
     bench.connect()
     bench.sent()
-    headers = [out.properties.headers for out in bench.consumer.flight.values()]
+    headers = [out.properties.headers for out in bench.consumer.unconfirmed.values()]
     assert [(h["status"], h["reason"]) for h in headers] == [("failed", "may-have-run")]
     bench.deliver("consigna", "k", "c", again=True)  # the broker had not processed it: no second answer
-    assert bench.host.triggers == [] and bench.consumer.counts.twins == 1
+    assert bench.host.triggers == [] and bench.consumer.counts.duplicates == 1
     assert codec.Ack(2) in bench.sent()
 
 
 def test_a_redelivered_effect_without_a_record_runs_only_where_it_is_known_not_to_have_run():
     for since, sent, elsewhere in ((0, 1e12 - 500, False), (99, 1e12 - 500, True), (0, None, True)):
         bench = Bench(alone=False)
-        bench.consumer.since = since
+        bench.consumer.connected_at = since
         more = {} if sent is None else {"sent-ms": sent}
         bench.deliver("consigna", again=True, **more)
         bench.give(codec.QosOk())
@@ -344,7 +344,7 @@
     bench.reply()
     bench.give(codec.Ack(1), PUBLISH)
     assert kinds(bench.sent()) == ["Publish", "Ack"]
-    assert bench.consumer.open == 0
+    assert bench.consumer.open_triggers == 0
     # And again, after its answer: acknowledged without one.
     bench.consumer.disconnected()
     bench.connect()
@@ -359,8 +359,8 @@
     bench.sent()
     bench.consumer.disconnected()
     bench.connect()
-    (out,) = bench.consumer.flight.values()
-    assert out.properties.headers["repeated"] is True and out.tries == 1
+    (out,) = bench.consumer.unconfirmed.values()
+    assert out.properties.headers["repeated"] is True and out.attempts == 1
     assert bench.consumer.counts.lost_answers == 0
 
 
@@ -368,15 +368,15 @@
     bench = Bench()
     tag = bench.deliver()
     bench.reply()
-    for number in range(1, TRIES):
+    for number in range(1, MAX_PUBLISH_ATTEMPTS):
         assert "Publish" in kinds(bench.sent()), number
         bench.give(codec.Nack(number), PUBLISH)
-        bench.consumer.look(0)
+        bench.consumer.tick(0)
         assert "Publish" not in kinds(bench.sent())  # not at once
         bench.now += 2
-        bench.consumer.look(0)
+        bench.consumer.tick(0)
     bench.sent()
-    bench.give(codec.Nack(TRIES), PUBLISH)
+    bench.give(codec.Nack(MAX_PUBLISH_ATTEMPTS), PUBLISH)
     assert bench.consumer.counts.lost_answers == 1
     assert codec.Nack(tag, False, True) in bench.sent()  # a safe one: the broker may give it to another
 
@@ -387,7 +387,7 @@
         bench.deliver()
         bench.reply()
         bench.sent()
-        (out,) = bench.consumer.flight.values()
+        (out,) = bench.consumer.unconfirmed.values()
         bench.give(codec.Return(312, "NO_ROUTE", "", "r"), PUBLISH, out.properties, out.body)
         bench.give(codec.Ack(1), PUBLISH)
         assert bench.consumer.counts.unroutable == 1 and "answer-unroutable" in bench.host.lines
@@ -401,13 +401,13 @@
 
 
 def test_blocked_publications_are_bounded_then_refused_then_left_to_the_broker():
-    bench = Bench(answers=10)
-    bench.consumer.event(Blocked(True, "memory"))
+    bench = Bench(max_answers=10)
+    bench.consumer.on_event(Blocked(True, "memory"))
     for number in range(5):
         bench.deliver()
         bench.reply(number)
     assert bench.sent() == [] and len(bench.consumer.outbox) == 5
-    bench.consumer.look(0)
+    bench.consumer.tick(0)
     assert "Cancel" in kinds(bench.sent())  # half full: others may take them
     for number in range(5):  # those on their way already
         bench.deliver()
@@ -415,9 +415,9 @@
         bench.reply(5 + number, Kind.REFUSED)
     tag = bench.deliver()
     assert bench.sent() == [codec.Nack(tag, False, True)] and len(bench.host.triggers) == 10
-    bench.consumer.event(Blocked(False))
+    bench.consumer.on_event(Blocked(False))
     assert kinds(bench.sent()).count("Publish") == 10
-    bench.consumer.look(0)
+    bench.consumer.tick(0)
     assert "Consume" in kinds(bench.sent())
 
 
@@ -428,13 +428,13 @@
     answer, dead = bench.sent()
     assert (answer.exchange, answer.routing_key) == ("", "r")
     assert (dead.exchange, dead.routing_key) == ("dead", "calls.t.lectura.f")
-    headers = [out.properties.headers for out in bench.consumer.flight.values()]
+    headers = [out.properties.headers for out in bench.consumer.unconfirmed.values()]
     assert headers[0]["reason"] == "malformed" and "timeout-ms" in headers[1]["x-swiftwell-reason"]
     bench.give(codec.Ack(2, True), PUBLISH)
     assert bench.sent() == [codec.Ack(tag)]
     # No queue takes dead letters: the broker's own are asked for.
     tag = bench.deliver(**{"timeout-ms": "soon"})
-    out = list(bench.consumer.flight.values())[-1]
+    out = list(bench.consumer.unconfirmed.values())[-1]
     bench.give(codec.Return(312, "NO_ROUTE", "dead", out.key), PUBLISH, out.properties)
     bench.give(codec.Ack(4, True), PUBLISH)
     assert codec.Reject(tag, False) in bench.sent()
@@ -444,15 +444,17 @@
 
 
 def test_claimed_triggers_count_against_the_limit_though_the_broker_forgets_them():
-    bench = Bench(least=3, most=3)
+    bench = Bench(min_prefetch=3, max_prefetch=3)
     for _ in range(3):
         bench.deliver("consigna")
         bench.give(codec.QosOk())
-    assert bench.consumer.claimed == 3 and bench.sent()[-1].prefetch_count == 1
+    assert bench.consumer.acked_before_run == 3 and bench.sent()[-1].prefetch_count == 1
     bench.deliver("consigna")
-    assert bench.consumer.claimed == 3 and len(bench.consumer.parked) == 1  # neither claimed nor run
+    assert (
+        bench.consumer.acked_before_run == 3 and len(bench.consumer.deferred) == 1
+    )  # neither claimed nor run
     bench.reply(0)
-    assert len(bench.consumer.parked) == 0 and bench.consumer.claimed == 3
+    assert len(bench.consumer.deferred) == 0 and bench.consumer.acked_before_run == 3
     assert "Ack" in kinds(bench.sent())
 
 
@@ -460,13 +462,13 @@
     bench = Bench()
     bench.deliver(key="k", corr="c")
     del bench.session.channels[CONSUME]
-    bench.consumer.event(ChannelEnded(CONSUME, 406, "why"))
+    bench.consumer.on_event(ChannelEnded(CONSUME, 406, "why"))
     assert not bench.consumer.up and "channel-closed" in bench.host.lines
     bench.reply()
     bench.give(codec.Ack(1), PUBLISH)
     assert "Ack" not in kinds(bench.sent())  # the tag meant something on the old channel only
     bench.now += 2
-    bench.consumer.look(0)
+    bench.consumer.tick(0)
     assert kinds(bench.sent()) == ["ChannelOpen"]
 
 
@@ -483,10 +485,10 @@
 def test_answered_triggers_are_remembered_up_to_a_bound(monkeypatch):
     from swiftwell.fronts.amqp import consumer
 
-    monkeypatch.setattr(consumer, "TWINS", 50)
+    monkeypatch.setattr(consumer, "MAX_KNOWN_TRIGGERS", 50)
     bench = Bench()
     for number in range(200):
         bench.deliver()
         bench.reply()
         bench.give(codec.Ack(number + 1), PUBLISH)
-    assert len(bench.consumer.twins) <= 51 and bench.consumer.open == 0
+    assert len(bench.consumer.known_triggers) <= 51 and bench.consumer.open_triggers == 0
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -72,7 +72,7 @@
             console = await Console(session_s=60).connect(gw.listener_port)
             corr = console.publish("consigna", "k", qos=2)
             await asyncio.sleep(0.05)
-            console.client.drop()  # whatever acknowledgement was under way is lost
+            console.client.abort()  # whatever acknowledgement was under way is lost
             await asyncio.sleep(0.05)
             await console.connect(gw.listener_port)
             assert await console.answer(corr) == ("served", "ok")
@@ -118,7 +118,7 @@
             console = await Console().connect(gw.listener_port)
             console.publish("consigna", "k")
             await asyncio.sleep(0.1)
-            console.client.drop()
+            console.client.abort()
             await asyncio.sleep(0.8)
             assert gw.engine.open == 0 and gw.sizes()["sources"] == 0
             again = await Console().connect(gw.listener_port)
@@ -133,7 +133,7 @@
             console = await Console(session_s=60).connect(gw.listener_port)
             corr = console.publish("lectura")
             await asyncio.sleep(0.1)
-            console.client.drop()
+            console.client.abort()
             await asyncio.sleep(0.6)
             await console.connect(gw.listener_port)
             assert await console.answer(corr) == ("served", "ok")
--- a/tests/test_mqtt_session.py
+++ b/tests/test_mqtt_session.py
@@ -14,30 +14,30 @@
 
 
 def test_the_window_of_the_peer_is_kept_and_what_waits_follows():
-    box = Outbox(window=2, bound=2)
-    sent = [box.put(Publish("a", bytes((n,)), 1)) for n in range(5)]
+    box = Outbox(window=2, max_waiting=2)
+    sent = [box.enqueue(Publish("a", bytes((n,)), 1)) for n in range(5)]
     assert [len(now) for _, now in sent] == [1, 1, 0, 0, 0] and [room for room, _ in sent][-1] is False
     first = sent[0][1][0]
-    assert box.acked(Ack(Type.PUBACK, first.id))[0].payload == b"\2"
+    assert box.on_ack(Ack(Type.PUBACK, first.id))[0].payload == b"\2"
 
 
 def test_qos_two_goes_through_both_halves_and_resumes_where_it_was():
     box = Outbox()
-    one = box.put(Publish("a", b"1", 2))[1][0]
-    two = box.put(Publish("a", b"2", 2))[1][0]
-    assert box.acked(Ack(Type.PUBREC, one.id)) == [Ack(Type.PUBREL, one.id)]
+    one = box.enqueue(Publish("a", b"1", 2))[1][0]
+    two = box.enqueue(Publish("a", b"2", 2))[1][0]
+    assert box.on_ack(Ack(Type.PUBREC, one.id)) == [Ack(Type.PUBREL, one.id)]
     again = box.resume()
     assert again[0] == Ack(Type.PUBREL, one.id) and again[1].dup and again[1].id == two.id
-    assert box.acked(Ack(Type.PUBCOMP, one.id)) == [] and len(box) == 1
-    assert box.acked(Ack(Type.PUBCOMP, 999)) == []
+    assert box.on_ack(Ack(Type.PUBCOMP, one.id)) == [] and len(box) == 1
+    assert box.on_ack(Ack(Type.PUBCOMP, 999)) == []
     with pytest.raises(ProtocolError):
-        box.acked(Ack(Type.PUBACK, two.id))
+        box.on_ack(Ack(Type.PUBACK, two.id))
 
 
 def test_a_lost_session_is_sent_anew_in_the_first_order():
     box = Outbox(window=2)
     for number in range(4):
-        box.put(Publish("a", bytes((number,)), 1))
+        box.enqueue(Publish("a", bytes((number,)), 1))
     fresh = box.reset()
     assert [(m.payload, m.dup) for m in fresh] == [(b"\0", False), (b"\1", False)] and len(box) == 4
 
@@ -46,36 +46,36 @@
 def test_identifiers_in_flight_are_never_shared(plan, window):
     box, flight = Outbox(window, 1_000), []
     for qos in plan:
-        flight += [m for m in box.put(Publish("a", b"", qos))[1] if m.qos]
+        flight += [m for m in box.enqueue(Publish("a", b"", qos))[1] if m.qos]
         assert len({m.id for m in flight}) == len(flight) <= window
         if len(flight) == window:
             done = flight.pop(0)
             if done.qos == 2:
-                box.acked(Ack(Type.PUBREC, done.id))
-            follow = box.acked(Ack(Type.PUBCOMP if done.qos == 2 else Type.PUBACK, done.id))
+                box.on_ack(Ack(Type.PUBREC, done.id))
+            follow = box.on_ack(Ack(Type.PUBCOMP if done.qos == 2 else Type.PUBACK, done.id))
             flight += [m for m in follow if isinstance(m, Publish)]
 
 
 def test_a_message_is_taken_once_and_acknowledged_when_its_taker_says_so():
     box = Inbox(2)
     message = Publish("a", b"", 2, id=7)
-    assert box.take(message) == (True, [])
-    assert box.take(Publish("a", b"", 2, dup=True, id=7)) == (False, [])
-    assert box.done(7) == [Ack(Type.PUBREC, 7)]
-    assert box.take(Publish("a", b"", 2, dup=True, id=7)) == (False, [Ack(Type.PUBREC, 7)])
-    assert box.released(Ack(Type.PUBREL, 7)) == [Ack(Type.PUBCOMP, 7)]
-    assert box.released(Ack(Type.PUBREL, 7)) == [Ack(Type.PUBCOMP, 7, Reason.ID_NOT_FOUND)]
-    assert box.done(7) == []
+    assert box.receive(message) == (True, [])
+    assert box.receive(Publish("a", b"", 2, dup=True, id=7)) == (False, [])
+    assert box.acknowledge(7) == [Ack(Type.PUBREC, 7)]
+    assert box.receive(Publish("a", b"", 2, dup=True, id=7)) == (False, [Ack(Type.PUBREC, 7)])
+    assert box.on_pubrel(Ack(Type.PUBREL, 7)) == [Ack(Type.PUBCOMP, 7)]
+    assert box.on_pubrel(Ack(Type.PUBREL, 7)) == [Ack(Type.PUBCOMP, 7, Reason.ID_NOT_FOUND)]
+    assert box.acknowledge(7) == []
 
 
 def test_more_than_the_window_and_an_identifier_in_use_are_protocol_errors():
     box = Inbox(1)
-    box.take(Publish("a", b"", 1, id=1))
+    box.receive(Publish("a", b"", 1, id=1))
     with pytest.raises(ProtocolError) as error:
-        box.take(Publish("a", b"", 1, id=2))
+        box.receive(Publish("a", b"", 1, id=2))
     assert error.value.reason is Reason.RECEIVE_MAXIMUM
     with pytest.raises(ProtocolError) as error:
-        box.take(Publish("a", b"", 1, id=1))
+        box.receive(Publish("a", b"", 1, id=1))
     assert error.value.reason is Reason.ID_IN_USE
 
 
