--- a/swiftwell/fronts/amqp/codec.py
+++ b/swiftwell/fronts/amqp/codec.py
@@ -98,22 +98,22 @@
 # Values of field tables (4.2.5.5).
 
 
-def _read_short_string(buf: bytes, at: int) -> tuple[str, int]:
-    end = at + 1 + buf[at]
-    if end > len(buf):
+def _read_short_string(data: bytes, offset: int) -> tuple[str, int]:
+    end = offset + 1 + data[offset]
+    if end > len(data):
         raise _syntax_error("a string goes beyond its frame")
     try:
-        return buf[at + 1 : end].decode(), end
+        return data[offset + 1 : end].decode(), end
     except UnicodeDecodeError:
         raise _syntax_error("a string is not UTF-8") from None
 
 
-def _read_long_string(buf: bytes, at: int) -> tuple[bytes, int]:
-    (size,) = _INT32.unpack_from(buf, at)
-    end = at + 4 + size
-    if end > len(buf):
+def _read_long_string(data: bytes, offset: int) -> tuple[bytes, int]:
+    (size,) = _INT32.unpack_from(data, offset)
+    end = offset + 4 + size
+    if end > len(data):
         raise _syntax_error("a string goes beyond its frame")
-    return buf[at + 4 : end], end
+    return data[offset + 4 : end], end
 
 
 _NUMBERS = {
@@ -123,73 +123,73 @@
 }  # fmt: skip
 
 
-def _read_value(buf: bytes, at: int, depth: int) -> tuple[Any, int]:
-    kind = buf[at]
-    at += 1
+def _read_value(data: bytes, offset: int, depth: int) -> tuple[Any, int]:
+    kind = data[offset]
+    offset += 1
     if kind == 0x53:  # S
-        raw, at = _read_long_string(buf, at)
+        raw, offset = _read_long_string(data, offset)
         try:
-            return raw.decode(), at
+            return raw.decode(), offset
         except UnicodeDecodeError:
-            return raw, at
+            return raw, offset
     if kind in _NUMBERS:
         form, size = _NUMBERS[kind]
-        return form.unpack_from(buf, at)[0], at + size
+        return form.unpack_from(data, offset)[0], offset + size
     match chr(kind):
         case "t":
-            return bool(buf[at]), at + 1
+            return bool(data[offset]), offset + 1
         case "V":
-            return None, at
+            return None, offset
         case "F":
-            return _read_table(buf, at, depth + 1)
+            return _read_table(data, offset, depth + 1)
         case "A":
-            return _read_array(buf, at, depth + 1)
+            return _read_array(data, offset, depth + 1)
         case "T":
-            return Timestamp(struct.unpack_from(">Q", buf, at)[0]), at + 8
+            return Timestamp(struct.unpack_from(">Q", data, offset)[0]), offset + 8
         case "x":
-            return _read_long_string(buf, at)
+            return _read_long_string(data, offset)
         case "D":
-            scale, value = struct.unpack_from(">Bi", buf, at)
-            return Decimal(value).scaleb(-scale), at + 5
+            scale, value = struct.unpack_from(">Bi", data, offset)
+            return Decimal(value).scaleb(-scale), offset + 5
     raise _syntax_error(f"a field of unknown type {kind:#x}")
 
 
-def _read_array(buf: bytes, at: int, depth: int) -> tuple[list[Any], int]:
-    at, end = _read_table_bounds(buf, at, depth)
-    out: list[Any] = []
-    while at < end:
-        value, at = _read_value(buf, at, depth)
-        out.append(value)
-        if len(out) > MAX_FIELDS:
+def _read_array(data: bytes, offset: int, depth: int) -> tuple[list[Any], int]:
+    offset, end = _read_table_bounds(data, offset, depth)
+    result: list[Any] = []
+    while offset < end:
+        value, offset = _read_value(data, offset, depth)
+        result.append(value)
+        if len(result) > MAX_FIELDS:
             raise _syntax_error(f"more than {MAX_FIELDS} values in an array")
-    if at != end:
+    if offset != end:
         raise _syntax_error("an array's last value goes beyond it")
-    return out, at
+    return result, offset
 
 
-def _read_table(buf: bytes, at: int, depth: int = 0) -> tuple[Table, int]:
-    at, end = _read_table_bounds(buf, at, depth)
-    out: Table = {}
+def _read_table(data: bytes, offset: int, depth: int = 0) -> tuple[Table, int]:
+    offset, end = _read_table_bounds(data, offset, depth)
+    result: Table = {}
     count = 0
-    while at < end:
-        name, at = _read_short_string(buf, at)
-        out[name], at = _read_value(buf, at, depth)
+    while offset < end:
+        name, offset = _read_short_string(data, offset)
+        result[name], offset = _read_value(data, offset, depth)
         count += 1
         if count > MAX_FIELDS:
             raise _syntax_error(f"more than {MAX_FIELDS} fields in a table")
-    if at != end:
+    if offset != end:
         raise _syntax_error("a table's last field goes beyond it")
-    return out, at
+    return result, offset
 
 
-def _read_table_bounds(buf: bytes, at: int, depth: int) -> tuple[int, int]:
+def _read_table_bounds(data: bytes, offset: int, depth: int) -> tuple[int, int]:
     if depth > MAX_DEPTH:
         raise _syntax_error(f"tables nested deeper than {MAX_DEPTH}")
-    (size,) = _INT32.unpack_from(buf, at)
-    end = at + 4 + size
-    if end > len(buf):
+    (size,) = _INT32.unpack_from(data, offset)
+    end = offset + 4 + size
+    if end > len(data):
         raise _syntax_error("a table goes beyond its frame")
-    return at + 4, end
+    return offset + 4, end
 
 
 def _encode_short_string(text: str) -> bytes:
@@ -306,31 +306,31 @@
 
 def _make_reader(cls: Any) -> Callable[[bytes], Method]:
     steps: list[tuple[Any, Any, int]] = []
-    for kind, what in _field_groups(cls):
+    for kind, group in _field_groups(cls):
         if kind == "fixed":
-            form = struct.Struct(">" + "".join(letter for _, letter in what))
+            form = struct.Struct(">" + "".join(letter for _, letter in group))
             steps.append((None, form, form.size))
         elif kind == "bits":
-            steps.append((None, None, len(what)))
+            steps.append((None, None, len(group)))
         else:
             steps.append((_STRING_READERS[kind], None, 0))
 
-    def read(buf: bytes) -> Method:
+    def read(data: bytes) -> Method:
         values: list[Any] = []
-        at = 4
+        offset = 4
         for text, form, size in steps:
             if text is not None:
-                value, at = text(buf, at)
+                value, offset = text(data, offset)
                 values.append(value)
             elif form is not None:
-                values += form.unpack_from(buf, at)
-                at += size
+                values += form.unpack_from(data, offset)
+                offset += size
             else:
-                bits = buf[at]
-                at += 1
+                bits = data[offset]
+                offset += 1
                 values += [bool(bits >> n & 1) for n in range(size)]
-        if at != len(buf):
-            raise _syntax_error(f"{len(buf) - at} bytes too many in {cls.__name__}")
+        if offset != len(data):
+            raise _syntax_error(f"{len(data) - offset} bytes too many in {cls.__name__}")
         return cls(*values)
 
     return read
@@ -339,28 +339,28 @@
 def _make_writer(cls: Any) -> Callable[[Any], bytes]:
     head = _IDS.pack(*cls.id)
     steps: list[tuple[str, Any, Any]] = []
-    for kind, what in _field_groups(cls):
+    for kind, group in _field_groups(cls):
         if kind == "fixed":
-            names = tuple(name for name, _ in what)
-            steps.append((kind, names, struct.Struct(">" + "".join(letter for _, letter in what))))
+            names = tuple(name for name, _ in group)
+            steps.append((kind, names, struct.Struct(">" + "".join(letter for _, letter in group))))
         else:
-            steps.append((kind, what, None))
+            steps.append((kind, group, None))
 
     def write(method: Any) -> bytes:
-        out = head
-        for kind, what, form in steps:
+        result = head
+        for kind, group, form in steps:
             if kind == "ShortStr":
-                out += _encode_short_string(getattr(method, what))
+                result += _encode_short_string(getattr(method, group))
             elif kind == "fixed":
-                out += form.pack(*[getattr(method, name) for name in what])
+                result += form.pack(*[getattr(method, name) for name in group])
             elif kind == "bits":
-                out += bytes((sum(bool(getattr(method, name)) << n for n, name in enumerate(what)),))
+                result += bytes((sum(bool(getattr(method, name)) << n for n, name in enumerate(group)),))
             elif kind == "LongStr":
-                raw = getattr(method, what)
-                out += _INT32.pack(len(raw)) + raw
+                raw = getattr(method, group)
+                result += _INT32.pack(len(raw)) + raw
             else:
-                out += _encode_table(getattr(method, what) or {})
-        return out
+                result += _encode_table(getattr(method, group) or {})
+        return result
 
     return write
 
@@ -718,20 +718,20 @@
 _TAG = struct.Struct(">QB")
 
 
-def _read_deliver(buf: bytes) -> Method:
-    consumer, at = _read_short_string(buf, 4)
-    number, bits = _TAG.unpack_from(buf, at)
-    exchange, at = _read_short_string(buf, at + 9)
-    key, at = _read_short_string(buf, at)
-    if at != len(buf):
-        raise _syntax_error(f"{len(buf) - at} bytes too many in Deliver")
+def _read_deliver(data: bytes) -> Method:
+    consumer, offset = _read_short_string(data, 4)
+    number, bits = _TAG.unpack_from(data, offset)
+    exchange, offset = _read_short_string(data, offset + 9)
+    key, offset = _read_short_string(data, offset)
+    if offset != len(data):
+        raise _syntax_error(f"{len(data) - offset} bytes too many in Deliver")
     return Deliver(consumer, number, bool(bits & 1), exchange, key)
 
 
-def _read_ack(buf: bytes) -> Method:
-    if len(buf) != 13:
-        raise _syntax_error(f"{len(buf) - 13} bytes too many in Ack")
-    number, bits = _TAG.unpack_from(buf, 4)
+def _read_ack(data: bytes) -> Method:
+    if len(data) != 13:
+        raise _syntax_error(f"{len(data) - 13} bytes too many in Ack")
+    number, bits = _TAG.unpack_from(data, 4)
     return Ack(number, bool(bits & 1))
 
 
@@ -794,29 +794,29 @@
     return [(name, kind) for name, bit, kind in _PROPERTIES if flags & bit]
 
 
-def _read_header(buf: bytes) -> Header:
-    class_id, _, size, flags = _CONTENT.unpack_from(buf, 0)
+def _read_header(data: bytes) -> Header:
+    class_id, _, size, flags = _CONTENT.unpack_from(data, 0)
     if flags & 1:
         raise _syntax_error("a content header with more flags than there are properties")
-    at, found = _CONTENT.size, Properties()
+    offset, found = _CONTENT.size, Properties()
     for name, kind in _present_properties(flags):
         value: Any
         if kind == "s":
-            value, at = _read_short_string(buf, at)
+            value, offset = _read_short_string(data, offset)
         elif kind == "F":
-            value, at = _read_table(buf, at)
+            value, offset = _read_table(data, offset)
         elif kind == "B":
-            value, at = buf[at], at + 1
+            value, offset = data[offset], offset + 1
         else:
-            value, at = struct.unpack_from(">Q", buf, at)[0], at + 8
+            value, offset = struct.unpack_from(">Q", data, offset)[0], offset + 8
         setattr(found, name, value)
-    if at != len(buf):
-        raise _syntax_error(f"{len(buf) - at} bytes too many in a content header")
+    if offset != len(data):
+        raise _syntax_error(f"{len(data) - offset} bytes too many in a content header")
     return Header(size, found, class_id)
 
 
 def _encode_header(header: Header) -> bytes:
-    flags, out = 0, b""
+    flags, result = 0, b""
     properties = header.properties
     for name, bit, kind in _PROPERTIES:
         value = getattr(properties, name)
@@ -824,14 +824,14 @@
             continue
         flags |= bit
         if kind == "s":
-            out += _encode_short_string(value)
+            result += _encode_short_string(value)
         elif kind == "F":
-            out += _encode_table(value)
+            result += _encode_table(value)
         elif kind == "B":
-            out += bytes((value,))
+            result += bytes((value,))
         else:
-            out += struct.pack(">Q", value)
-    return _CONTENT.pack(header.class_id, 0, header.size, flags) + out
+            result += struct.pack(">Q", value)
+    return _CONTENT.pack(header.class_id, 0, header.size, flags) + result
 
 
 # Frames (4.2.3).
@@ -852,24 +852,24 @@
             self.buffer += data
             data = bytes(self.buffer)
             self.buffer.clear()
-        out: list[tuple[int, FrameContent]] = []
-        at, length = 0, len(data)
-        while length - at >= 7:
-            kind, channel, size = _FRAME.unpack_from(data, at)
+        result: list[tuple[int, FrameContent]] = []
+        offset, length = 0, len(data)
+        while length - offset >= 7:
+            kind, channel, size = _FRAME.unpack_from(data, offset)
             if kind not in _KINDS:
                 raise AmqpError(Code.FRAME_ERROR, f"a frame of type {kind}")
             if size + FRAME_EXTRA > self.max_frame_bytes:
                 text = f"a frame of {size + FRAME_EXTRA} bytes, {self.max_frame_bytes} agreed"
                 raise AmqpError(Code.FRAME_ERROR, text)
-            end = at + 7 + size
+            end = offset + 7 + size
             if length <= end:
                 break
             if data[end] != FRAME_END:
                 raise AmqpError(Code.FRAME_ERROR, f"a frame that ends with {data[end]:#x}")
-            out.append((channel, _decode_payload(kind, channel, data[at + 7 : end])))
-            at = end + 1
-        self.buffer += data[at:]
-        return out
+            result.append((channel, _decode_payload(kind, channel, data[offset + 7 : end])))
+            offset = end + 1
+        self.buffer += data[offset:]
+        return result
 
 
 def _decode_payload(kind: int, channel: int, payload: bytes) -> FrameContent:
@@ -915,7 +915,10 @@
 
     The body is split into frames of at most `max_frame_bytes`, or of `body_frame_bytes` of payload if given.
     """
-    out = [encode(channel, method), _frame(HEADER, channel, _encode_header(Header(len(body), properties)))]
+    result = [encode(channel, method), _frame(HEADER, channel, _encode_header(Header(len(body), properties)))]
     chunk_bytes = body_frame_bytes or max_frame_bytes - FRAME_EXTRA
-    out += [_frame(BODY, channel, body[at : at + chunk_bytes]) for at in range(0, len(body), chunk_bytes)]
-    return b"".join(out)
+    result += [
+        _frame(BODY, channel, body[offset : offset + chunk_bytes])
+        for offset in range(0, len(body), chunk_bytes)
+    ]
+    return b"".join(result)
--- a/swiftwell/fronts/mqtt/codec.py
+++ b/swiftwell/fronts/mqtt/codec.py
@@ -243,38 +243,38 @@
 class _Reader:
     """A cursor over one packet; reading beyond its end raises ProtocolError."""
 
-    __slots__ = ("at", "data", "end")
+    __slots__ = ("data", "end", "position")
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at, self.end = data, 0, len(data)
+        self.data, self.position, self.end = data, 0, len(data)
 
     def byte(self) -> int:
-        if self.at >= self.end:
+        if self.position >= self.end:
             raise _malformed("the packet is cut short")
-        self.at += 1
-        return self.data[self.at - 1]
+        self.position += 1
+        return self.data[self.position - 1]
 
     def take(self, count: int) -> bytes:
-        start = self.at
+        start = self.position
         if start + count > self.end:
             raise _malformed("a length goes beyond the packet")
-        self.at = start + count
-        return self.data[start : self.at]
+        self.position = start + count
+        return self.data[start : self.position]
 
     def two(self) -> int:
-        at = self.at
+        at = self.position
         if at + 2 > self.end:
             raise _malformed("a length goes beyond the packet")
-        self.at = at + 2
+        self.position = at + 2
         return self.data[at] << 8 | self.data[at + 1]
 
     def four(self) -> int:
         return int.from_bytes(self.take(4), "big")
 
     def varint(self) -> int:
-        if self.at < self.end and self.data[self.at] < 0x80:  # the usual case
-            self.at += 1
-            return self.data[self.at - 1]
+        if self.position < self.end and self.data[self.position] < 0x80:  # the usual case
+            self.position += 1
+            return self.data[self.position - 1]
         value = 0
         for shift in (0, 7, 14, 21):
             byte = self.byte()
@@ -301,15 +301,15 @@
         return self.text(), self.text()
 
     def bytes_left(self) -> int:
-        return self.end - self.at
+        return self.end - self.position
 
     def remaining_bytes(self) -> bytes:
-        value = self.data[self.at :]
-        self.at = self.end
+        value = self.data[self.position :]
+        self.position = self.end
         return value
 
     def expect_end(self) -> None:
-        if self.at != self.end:
+        if self.position != self.end:
             raise _malformed("bytes are left over at the end of a packet")
 
 
@@ -326,14 +326,14 @@
 
 def _read_properties(reader: _Reader, packet: int) -> Properties:
     length = reader.varint()
-    end = reader.at + length
+    end = reader.position + length
     if end > reader.end:
         raise _malformed("the properties go beyond the packet")
     if not length:
         return {}
     found: Properties = {}
     count = 0
-    while reader.at < end:
+    while reader.position < end:
         count += 1
         if count > MAX_PROPERTIES:
             raise ProtocolError(Reason.QUOTA, f"more than {MAX_PROPERTIES} properties")
@@ -353,7 +353,7 @@
         if (name in _NONZERO and value == 0) or (name in _FLAGS and value > 1):
             raise _protocol_error(f"{name} may not be {value}")
         found[name] = value
-    if reader.at != end:
+    if reader.position != end:
         raise _malformed("a property goes beyond the properties")
     return found
 
@@ -638,12 +638,12 @@
 
 
 def _varint(value: int) -> bytes:
-    out = bytearray()
+    encoded = bytearray()
     while True:
         value, low = value >> 7, value & 0x7F
-        out.append(low | (0x80 if value else 0))
+        encoded.append(low | (0x80 if value else 0))
         if not value:
-            return bytes(out)
+            return bytes(encoded)
 
 
 def _binary(value: bytes) -> bytes:
@@ -670,13 +670,13 @@
 def _write_properties(properties: Properties) -> bytes:
     if not properties:
         return b"\0"
-    out = b""
+    encoded = b""
     for name, value in properties.items():
         number, kind = _BY_NAME[name]
         write = _PROPERTY_WRITERS[kind]
         for item in value if isinstance(value, list) else (value,):
-            out += bytes((number,)) + write(item)
-    return _varint(len(out)) + out
+            encoded += bytes((number,)) + write(item)
+    return _varint(len(encoded)) + encoded
 
 
 def _frame(head: int, body: bytes) -> bytes:
