--- a/tests/amqpbench.py
+++ b/tests/amqpbench.py
@@ -1,4 +1,4 @@
-"""An AMQP stand-in broker in this process, publishers of its queues, and gateways that consume them."""
+"""Fixtures for AMQP tests: a stand-in broker in this process, consuming gateways and a publisher."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -12,7 +12,7 @@
 
 @asynccontextmanager
 async def broker(**more):
-    """The stand-in; its `port` and its `trace`."""
+    """The stand-in broker, with its `port` and `trace`."""
     server = AmqpBroker(Trace("amqp"), **more)
     server.port = server.start()
     try:
@@ -24,43 +24,43 @@
 
 
 def node(port, more="", queue='"calls" exchange="calls"'):
-    """The settings of a link to it."""
+    """The settings of a link to the broker."""
     return f'amqp-broker "b" {more} {{ address "127.0.0.1:{port}"; queue {queue} }}'
 
 
 @asynccontextmanager
 async def consuming(folder, port, workers, more="", queue='"calls" exchange="calls"', extra="", **other):
-    """A gateway that consumes, once it does."""
+    """A gateway, as soon as it consumes."""
     async with gateway(folder, workers, extra=node(port, more, queue) + "\n" + extra, **other) as gw:
         await up(gw)
         yield gw
 
 
 async def up(gw, on=True):
-    """Wait until the gateway consumes (or does not)."""
+    """Wait until the gateway consumes, or no longer does with `on` false."""
     for _ in range(600):
         if gw.amqp[0].consumer.up is on:
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("the link did not come up")
+    raise AssertionError("the link did not change its state within 6 s")
 
 
-class Asker:
-    """A publisher that keeps its answers by correlation."""
+class Publisher:
+    """A publisher that collects its answers by correlation identifier."""
 
-    def __init__(self, name="asker"):
+    def __init__(self, name="publisher"):
         self.answers, self.returned, self.confirms = {}, [], []
         self.client = Client(
             name,
-            on_message=self._take,
+            on_message=self._on_answer,
             on_return=lambda event: self.returned.append(event.properties.correlation_id),
-            on_confirm=lambda *told: self.confirms.append(told),
+            on_confirm=lambda *confirm: self.confirms.append(confirm),
         )
         self.reply, self.count = f"answers/{name}", 0
 
-    def _take(self, event):
-        told = dict(event.properties.headers or {}) | {"body": event.body}
-        self.answers.setdefault(event.properties.correlation_id, []).append(told)
+    def _on_answer(self, event):
+        answer = dict(event.properties.headers or {}) | {"body": event.body}
+        self.answers.setdefault(event.properties.correlation_id, []).append(answer)
 
     async def connect(self, port, reply=True):
         await self.client.connect("127.0.0.1", port)
@@ -80,18 +80,20 @@
         **more,
     ):
         self.count += 1
-        corr = f"q{self.count}"
-        properties = trigger(key or f"{self.reply}/{corr}", reply or self.reply, corr, timeout, **more)
+        correlation = f"q{self.count}"
+        properties = trigger(
+            key or f"{self.reply}/{correlation}", reply or self.reply, correlation, timeout, **more
+        )
         self.client.publish(exchange, to or f"calls.t.{request_class}.f", properties, body)
-        return corr
+        return correlation
 
-    async def answer(self, corr, within=5.0):
+    async def answer(self, correlation, within=5.0):
         for _ in range(int(within * 200)):
-            if corr in self.answers:
-                told = self.answers[corr][0]
-                return told["status"], told["reason"]
+            if correlation in self.answers:
+                answer = self.answers[correlation][0]
+                return answer["status"], answer["reason"]
             await asyncio.sleep(0.005)
-        raise AssertionError(f"no answer to {corr}")
+        raise AssertionError(f"no answer to {correlation}")
 
     async def call(self, *args, **more):
         return await self.answer(self.publish(*args, **more))
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -1,4 +1,4 @@
-"""AMQP through real sockets: the stand-in broker, gateways that consume, publishers; what goes wrong."""
+"""AMQP over real sockets: stand-in broker, consuming gateways and publishers, in normal and failure cases."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 from contextlib import AsyncExitStack, asynccontextmanager
 
 import pytest
-from amqpbench import Asker, broker, consuming, node, up
+from amqpbench import Publisher, broker, consuming, node, up
 from socketbench import SITE, Console, gateway, http, raw_worker, run, serving
 
 from swiftwell.fronts.amqp import codec
@@ -24,7 +24,7 @@
 
 
 def keyed(calls, answer=serving):
-    """A worker that notes each call's key."""
+    """A worker that records the key of each call."""
 
     async def serve(number, head, reader, writer):
         calls.append(next(x[15:] for x in head.split("\r\n") if x.startswith("swiftwell-key")))
@@ -37,24 +37,27 @@
     return sum(len(ch.unacked) for connection in server.connections for ch in connection.channels.values())
 
 
-async def settle(check, within=5.0):
+async def wait_until(check, within=5.0):
     for _ in range(int(within * 100)):
         if check():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("it did not come to be")
+    raise AssertionError(f"the condition did not hold within {within} s")
 
 
 def test_calls_of_each_class_are_served_and_acknowledged(tmp_path):
     async def main():
         async with broker() as b, raw_worker(serving) as w, consuming(tmp_path, b.port, [w]) as gw:
-            asker = await Asker().connect(b.port)
-            assert await asker.call("lectura") == ("served", "ok")
-            assert await asker.call("consigna", "k") == ("served", "ok")
-            assert await asker.call("consigna", "k") == ("served", "ok")  # told again, not run again
-            assert await asker.call("nope") == ("refused", "unknown-class")
+            publisher = await Publisher().connect(b.port)
+            assert await publisher.call("lectura") == ("served", "ok")
+            assert await publisher.call("consigna", "k") == ("served", "ok")
+            assert await publisher.call("consigna", "k") == (
+                "served",
+                "ok",
+            )  # answered from the ledger, not run again
+            assert await publisher.call("nope") == ("refused", "unknown-class")
             assert gw.engine.counts["told"] == 1
-            await settle(lambda: not unacked(b) and not any(queue.ready for queue in b.queues.values()))
+            await wait_until(lambda: not unacked(b) and not any(queue.ready for queue in b.queues.values()))
 
     run(main())
 
@@ -67,15 +70,15 @@
             raw_worker(keyed(calls, slow)) as w,
             consuming(tmp_path, b.port, [w]) as gw,
         ):
-            asker, console = await Asker().connect(b.port), await Console().connect(gw.listener_port)
-            over_amqp = asker.publish("consigna", "valve-7")
+            publisher, console = await Publisher().connect(b.port), await Console().connect(gw.listener_port)
+            over_amqp = publisher.publish("consigna", "valve-7")
             over_mqtt = console.publish("consigna", "valve-7")
-            assert await asker.answer(over_amqp) == ("served", "ok")
+            assert await publisher.answer(over_amqp) == ("served", "ok")
             assert await console.answer(over_mqtt) == ("served", "ok")
-            # And later, on either; a redelivery as well.
+            # Later calls with the key, on either front.
             assert await console.call("consigna", "valve-7") == ("served", "ok")
-            assert await asker.call("consigna", "valve-7") == ("served", "ok")
-            assert await asker.call("consigna", "valve-7", body=b"other") == ("refused", "key-reused")
+            assert await publisher.call("consigna", "valve-7") == ("served", "ok")
+            assert await publisher.call("consigna", "valve-7", body=b"other") == ("refused", "key-reused")
             assert calls == ["valve-7"]
 
     run(main())
@@ -83,7 +86,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 2])
 def test_a_gateway_killed_with_triggers_in_hand_leaves_them_to_the_other(tmp_path, gateways):
-    """Process death as the broker sees it: the connection ends, without a word."""
+    """Simulates process death as the broker sees it: the connection ends without a close method."""
 
     async def main():
         calls = []
@@ -93,21 +96,22 @@
             raw_worker(keyed(calls, slow)) as w,
             consuming(tmp_path / "one", b.port, [w], extra=extra) as one,
         ):
-            asker = await Asker().connect(b.port)
+            publisher = await Publisher().connect(b.port)
             await asyncio.sleep(0.1)
-            # The broker gives, and never hears that the effect was acknowledged.
-            asks = [asker.publish("lectura"), asker.publish("consigna", "unsafe")]
+            # The broker delivers, and never receives the acknowledgement of the effect.
+            correlations = [publisher.publish("lectura"), publisher.publish("consigna", "unsafe")]
             link = one.amqp[0]
-            link._flush = lambda: None  # nothing goes out any more: the claim never reaches the broker
-            await settle(lambda: unacked(b) == 2)
+            link._flush = lambda: None  # nothing is sent any more, the acknowledgement included
+            await wait_until(lambda: unacked(b) == 2)
             await asyncio.sleep(0.1)
-            assert "unsafe" not in calls  # not run before the broker knows
+            assert "unsafe" not in calls  # not run before the broker has processed the acknowledgement
             link._closing = True
             link.stream.close()
             async with consuming(tmp_path / "two", b.port, [w], extra=extra):
-                assert (await asker.answer(asks[0]))[0] in ("served", "refused")  # known to the second now
-                kind = await asker.answer(asks[1])
-                # Its own broker connection is young: it can't know that no acknowledgement was lost.
+                # The second gateway now has the trigger that is safe to repeat.
+                assert (await publisher.answer(correlations[0]))[0] in ("served", "refused")
+                kind = await publisher.answer(correlations[1])
+                # Its connection is younger than the trigger, so an acknowledgement may have been lost before.
                 assert (kind == ("failed", "may-have-run")) is (gateways == 2), kind
                 assert calls.count("unsafe") <= 1
 
@@ -118,20 +122,20 @@
     async def main():
         calls = []
         async with broker() as b, raw_worker(keyed(calls)) as w:
-            holder = Client("holder")  # a gateway that dies with a trigger in hand
+            holder = Client("holder")  # simulates a gateway that dies with an unacknowledged trigger
             async with consuming(tmp_path, b.port, [w], extra="gateways 2\n") as gw:
                 gw.amqp[0].consumer.connected_at -= 3_600
-                asker = await Asker().connect(b.port)
+                publisher = await Publisher().connect(b.port)
                 gw.amqp[0].consumer.session.send(1, codec.Cancel("b-0"))
                 gw.amqp[0]._flush()
                 await holder.connect("127.0.0.1", b.port)
                 await holder.request(codec.Consume(0, "calls", "held"))
-                corr = asker.publish("consigna", "k")
-                await settle(lambda: unacked(b) == 1)
+                correlation = publisher.publish("consigna", "k")
+                await wait_until(lambda: unacked(b) == 1)
                 gw.amqp[0].consumer.session.send(1, codec.Consume(0, "calls", "b-0"))
                 gw.amqp[0]._flush()
                 holder.abort()
-                assert await asker.answer(corr) == ("served", "ok")
+                assert await publisher.answer(correlation) == ("served", "ok")
                 assert calls == ["k"] and gw.amqp[0].consumer.counts.redelivered == 1
 
     run(main())
@@ -146,14 +150,14 @@
             consuming(tmp_path / "a", b.port, [w], extra="gateways 2\n"),
             consuming(tmp_path / "b", b.port, [w], extra="gateways 2\nposition 1\n"),
         ):
-            asker = await Asker().connect(b.port)
+            publisher = await Publisher().connect(b.port)
             for number in range(20):
-                assert await asker.call("consigna", f"k{number}") == ("served", "ok")
+                assert await publisher.call("consigna", f"k{number}") == ("served", "ok")
             assert len(calls) == 20
             b.fault("restart", for_s=0.2, lose_s=5.0)
-            await settle(lambda: len(b.queues["calls"].ready) == 20)
-            # All twenty come again, to either gateway; each is answered, none is run.
-            await settle(
+            await wait_until(lambda: len(b.queues["calls"].ready) == 20)
+            # All twenty are delivered again, to either gateway; each is answered, none runs.
+            await wait_until(
                 lambda: not b.queues["calls"].ready and not unacked(b) and len(b.connections) >= 2, 15
             )
             await asyncio.sleep(0.3)
@@ -176,18 +180,20 @@
             await stack.enter_async_context(
                 consuming(tmp_path, b.port, workers, more="prefetch-least=40 prefetch-most=40")
             )
-            asker, asks = await Asker().connect(b.port), []
+            publisher, correlations = await Publisher().connect(b.port), []
             for number in range(40):
-                asks.append(asker.publish("consigna" if number % 2 else "lectura", f"k{number}", 2_900))
+                correlations.append(
+                    publisher.publish("consigna" if number % 2 else "lectura", f"k{number}", 2_900)
+                )
                 await asyncio.sleep(0.015)
                 if number == 20:
                     b.fault("channel_error")
-            kinds = [(await asker.answer(corr, 8))[0] for corr in asks]
+            kinds = [(await publisher.answer(correlation, 8))[0] for correlation in correlations]
             unsafe = [key for key in calls if int(key[1:]) % 2]
             assert len(unsafe) == len(set(unsafe))
             assert set(kinds) <= {"served", "refused", "failed"} and kinds.count("served") >= 10
             await asyncio.sleep(0.3)
-            assert all(len(told) == 1 for told in asker.answers.values())
+            assert all(len(answers) == 1 for answers in publisher.answers.values())
 
     run(main())
 
@@ -199,20 +205,20 @@
             raw_worker(slow) as w,
             consuming(tmp_path, b.port, [w], more="heartbeat-s=1") as gw,
         ):
-            asker = Asker()
-            asker.client._login = type(asker.client._login)("asker", heartbeat_s=0)
-            await asker.connect(b.port)
+            publisher = Publisher()
+            publisher.client._login = type(publisher.client._login)("publisher", heartbeat_s=0)
+            await publisher.connect(b.port)
             first = gw.amqp[0].stream
-            corr = asker.publish("lectura", timeout=2_900)
-            await settle(lambda: unacked(b) == 1)
-            # The broker goes silent towards the gateway: reads nothing, writes nothing.
+            correlation = publisher.publish("lectura", timeout=2_900)
+            await wait_until(lambda: unacked(b) == 1)
+            # The broker goes silent: it sends nothing to the gateway any more.
             for connection in b.connections:
                 if connection.name == "gw":
                     connection.write = lambda data: None
-            await settle(lambda: gw.amqp[0].stream is not first and gw.amqp[0].consumer.up, 8)
+            await wait_until(lambda: gw.amqp[0].stream is not first and gw.amqp[0].consumer.up, 8)
             assert "no input for two heartbeat intervals" in gw.lines.getvalue()
-            assert await asker.answer(corr) == ("served", "ok")
-            await settle(lambda: not unacked(b))
+            assert await publisher.answer(correlation) == ("served", "ok")
+            await wait_until(lambda: not unacked(b))
 
     run(main())
 
@@ -225,24 +231,24 @@
             raw_worker(keyed(calls)) as w,
             consuming(tmp_path, b.port, [w], more="waiting-answers=4") as gw,
         ):
-            asker = await Asker().connect(b.port)
-            assert await asker.call("consigna", "first") == ("served", "ok")
+            publisher = await Publisher().connect(b.port)
+            assert await publisher.call("consigna", "first") == ("served", "ok")
             b.fault("alarm", for_s=1.5)
-            await settle(lambda: gw.amqp[0].consumer.blocked)
-            # The stand-in still takes what publishers send; a real one would make them wait.
-            asks = [asker.publish("consigna", f"k{n}", 2_900) for n in range(8)]
-            await settle(lambda: len(gw.amqp[0].consumer.outbox) >= 4)
-            assert not asker.answers.keys() & set(asks)
+            await wait_until(lambda: gw.amqp[0].consumer.blocked)
+            # The stand-in still accepts publications of other publishers; a real broker would block them.
+            correlations = [publisher.publish("consigna", f"k{n}", 2_900) for n in range(8)]
+            await wait_until(lambda: len(gw.amqp[0].consumer.outbox) >= 4)
+            assert not publisher.answers.keys() & set(correlations)
             assert "published-blocked" not in {
                 event["ev"] for event in b.trace.kept if event.get("client") == "gw"
             }
-            kinds = [await asker.answer(corr, 8) for corr in asks]
+            kinds = [await publisher.answer(correlation, 8) for correlation in correlations]
             assert {kind for kind, _ in kinds} <= {"served", "refused"}
             assert ("refused", "answers-blocked") in kinds or len(calls) == 9
-            # What was refused did not run, and a retry is harmless.
+            # Refused calls did not run, so a retry is harmless.
             for number, kind in enumerate(kinds):
                 assert (f"k{number}" in calls) is (kind[0] == "served")
-            assert await asker.call("consigna", "first") == ("served", "ok")
+            assert await publisher.call("consigna", "first") == ("served", "ok")
             assert calls.count("first") == 1
 
     run(main())
@@ -258,11 +264,13 @@
                 tmp_path, b.port, [w], more=f"prefetch-least={prefetch} prefetch-most={prefetch}"
             ) as gw,
         ):
-            asker = await Asker().connect(b.port)
-            asks = [asker.publish("consigna" if n % 3 == 0 else "lectura", timeout=2_900) for n in range(40)]
+            publisher = await Publisher().connect(b.port)
+            correlations = [
+                publisher.publish("consigna" if n % 3 == 0 else "lectura", timeout=2_900) for n in range(40)
+            ]
             most = 0
-            for corr in asks:
-                await asker.answer(corr, 8)
+            for correlation in correlations:
+                await publisher.answer(correlation, 8)
                 most = max(most, unacked(b))
             assert most <= prefetch
             assert gw.amqp[0].consumer.prefetch.limit == prefetch
@@ -285,15 +293,15 @@
             raw_worker(keyed(calls, hold)) as w,
             consuming(tmp_path, b.port, [w], more=more) as gw,
         ):
-            asker = await Asker().connect(b.port)
+            publisher = await Publisher().connect(b.port)
             for number in range(5_000):
-                asker.publish("lectura", f"k{number}", timeout=60_000, reply="kept")
-            await settle(lambda: unacked(b) == 5_000, 20)
-            await settle(lambda: gw.engine.counts["calls"] == 5_000, 10)
+                publisher.publish("lectura", f"k{number}", timeout=60_000, reply="kept")
+            await wait_until(lambda: unacked(b) == 5_000, 20)
+            await wait_until(lambda: gw.engine.counts["calls"] == 5_000, 10)
             open_before = gw.engine.counts["calls"]
             b.fault("restart", for_s=0.2)
-            await settle(lambda: gw.amqp[0].consumer.counts.redelivered >= 4_000, 25)
-            # Those whose call is still open joined it; none was taken as a new call.
+            await wait_until(lambda: gw.amqp[0].consumer.counts.redelivered >= 4_000, 25)
+            # Redeliveries join their open calls; none becomes a new call.
             counts = gw.amqp[0].consumer.counts
             assert counts.duplicates == counts.redelivered and gw.engine.counts["calls"] == open_before
             gate.set()
@@ -308,10 +316,10 @@
 
         async with broker() as b, raw_worker(echo) as w, consuming(tmp_path, b.port, [w]):
             b.pieces = 1
-            asker = await Asker().connect(b.port)
-            corr = asker.publish("consigna", "k", body=b"x" * 2_000)
-            assert await asker.answer(corr) == ("served", "ok")
-            assert asker.answers[corr][0]["body"] == b"y" * 500
+            publisher = await Publisher().connect(b.port)
+            correlation = publisher.publish("consigna", "k", body=b"x" * 2_000)
+            assert await publisher.answer(correlation) == ("served", "ok")
+            assert publisher.answers[correlation][0]["body"] == b"y" * 500
 
     run(main())
 
@@ -323,17 +331,17 @@
             raw_worker(serving) as w,
             consuming(tmp_path, b.port, [w], more="frame-bytes=4096 body-bytes=100000") as gw,
         ):
-            asker = await Asker().connect(b.port)
-            assert await asker.call(body=b"x" * 20_000) == ("served", "ok")  # in several frames
+            publisher = await Publisher().connect(b.port)
+            assert await publisher.call(body=b"x" * 20_000) == ("served", "ok")  # in several frames
             for connection in b.connections:
                 if connection.name == "gw":
                     connection.write(codec._frame(codec.BODY, 1, bytes(5_000)))
             await up(gw, False)
             await up(gw)
             assert "frame_error" in gw.lines.getvalue()
-            assert await asker.call() == ("served", "ok")
-            corr = asker.publish(body=b"x" * 100_001)
-            assert await asker.answer(corr) == ("refused", "malformed")
+            assert await publisher.call() == ("served", "ok")
+            correlation = publisher.publish(body=b"x" * 100_001)
+            assert await publisher.answer(correlation) == ("refused", "malformed")
 
     run(main())
 
@@ -346,11 +354,11 @@
             await client.request(codec.QueueDeclare(0, "q"))
             await client.request(codec.Consume(0, "q", "c"))
             client.publish("", "q", Properties(), b"x")
-            await settle(lambda: unacked(b) == 1)
+            await wait_until(lambda: unacked(b) == 1)
             for _ in range(2):
                 client.session.send(1, codec.Ack(1))
             client._flush(client.connection)
-            await settle(lambda: client.connection is None)
+            await wait_until(lambda: client.connection is None)
             assert "406" in client._close_reason and "unknown delivery tag 1" in client._close_reason
 
     run(main())
@@ -360,20 +368,20 @@
     async def main():
         calls = []
         async with broker() as b, raw_worker(keyed(calls)) as w:
-            asker = await Asker().connect(b.port)
+            publisher = await Publisher().connect(b.port)
             async with consuming(tmp_path, b.port, [w]):
-                pass  # the queue is there now, and nobody consumes it
-            asker.publish("consigna", "queue", timeout=100)
+                pass  # declares the queue, which then has no consumer
+            publisher.publish("consigna", "queue", timeout=100)
             late = Properties(
                 headers={"key": "late", "timeout-ms": 1_000, "sent-ms": time.time() * 1e3 - 9_000},
                 correlation_id="late",
-                reply_to=asker.reply,
+                reply_to=publisher.reply,
             )
-            asker.client.publish("calls", "calls.t.consigna.f", late, b"x")
+            publisher.client.publish("calls", "calls.t.consigna.f", late, b"x")
             await asyncio.sleep(0.4)
             async with consuming(tmp_path, b.port, [w]):
-                assert await asker.answer("late") == ("refused", "no-time-left")
-                assert await asker.call("consigna", "good") == ("served", "ok")
+                assert await publisher.answer("late") == ("refused", "no-time-left")
+                assert await publisher.call("consigna", "good") == ("served", "ok")
             assert calls == ["good"]
             assert [e["corr"] for e in b.trace.kept if e["ev"] == "expired"] == ["q1"]
 
@@ -384,12 +392,14 @@
 def test_a_publishers_clock_an_hour_off_costs_it_nothing(tmp_path, hour):
     async def main():
         async with broker() as b, raw_worker(serving) as w, consuming(tmp_path, b.port, [w]):
-            asker = await Asker().connect(b.port)
-            await asyncio.sleep(0.4)  # what comes at once may have waited in the queue, and teaches nothing
+            publisher = await Publisher().connect(b.port)
+            await asyncio.sleep(
+                0.4
+            )  # earlier messages may have waited in the queue, so they are not used for skew
             kinds = []
             for _ in range(5):
-                kinds.append(await asker.call(sent_ms=time.time() * 1e3 + hour))
-            # One clock that is far behind may be a message long queued: three that agree tell the clock.
+                kinds.append(await publisher.call(sent_ms=time.time() * 1e3 + hour))
+            # One message with an old time may have been queued; three that agree establish the skew.
             assert kinds[-1] == ("served", "ok") and {kind for kind, _ in kinds} <= {"served", "refused"}
 
     run(main())
@@ -404,14 +414,14 @@
             await reader.request(codec.QueueDeclare(0, "letters"))
             await reader.request(codec.QueueBind(0, "letters", "dead", "#"))
             await reader.request(codec.Consume(0, "letters", "c", no_ack=True))
-            asker = await Asker().connect(b.port)
-            corr = asker.publish(to="calls.t.lectura")
-            assert await asker.answer(corr) == ("refused", "malformed")
-            await settle(lambda: got)
+            publisher = await Publisher().connect(b.port)
+            correlation = publisher.publish(to="calls.t.lectura")
+            assert await publisher.answer(correlation) == ("refused", "malformed")
+            await wait_until(lambda: got)
             headers = got[0].properties.headers
             assert "the routing key is not" in headers["x-swiftwell-reason"]
             assert headers["x-swiftwell-routing-key"] == "calls.t.lectura" and got[0].body == b"x"
-            await settle(lambda: not unacked(b))
+            await wait_until(lambda: not unacked(b))
 
     run(main())
 
@@ -420,16 +430,16 @@
     async def main():
         queue = '"calls" exchange="calls"; unroutable "unasked"'
         async with broker() as b, raw_worker(slow) as w, consuming(tmp_path, b.port, [w], queue=queue) as gw:
-            asker = await Asker().connect(b.port)
-            await asker.client.request(codec.QueueDeclare(0, "unasked", durable=True))
-            asker.publish("consigna", "k")
-            await settle(lambda: gw.engine.counts["calls"] == 1)
-            asker.client.abort()
-            await settle(lambda: len(b.queues["unasked"].ready) == 1)
-            assert b.queues["unasked"].ready[0].properties.headers["x-swiftwell-reply-to"] == asker.reply
+            publisher = await Publisher().connect(b.port)
+            await publisher.client.request(codec.QueueDeclare(0, "unasked", durable=True))
+            publisher.publish("consigna", "k")
+            await wait_until(lambda: gw.engine.counts["calls"] == 1)
+            publisher.client.abort()
+            await wait_until(lambda: len(b.queues["unasked"].ready) == 1)
+            assert b.queues["unasked"].ready[0].properties.headers["x-swiftwell-reply-to"] == publisher.reply
             assert "answer-unroutable" in gw.lines.getvalue()
-            again = await Asker().connect(b.port)
-            assert await again.call("consigna", "k") == ("served", "ok")  # and the ledger has it
+            again = await Publisher().connect(b.port)
+            assert await again.call("consigna", "k") == ("served", "ok")  # answered from the ledger
 
     run(main())
 
@@ -439,18 +449,22 @@
         async with broker() as b, raw_worker(serving) as w:
             queue = '"made" declare=false'
             async with gateway(tmp_path, [w], extra=node(b.port, queue=queue)) as gw:
-                await settle(lambda: "no queue 'made'" in gw.lines.getvalue())
-                asker = await Asker().connect(b.port)
-                await asker.client.request(codec.QueueDeclare(0, "made", durable=True))
+                await wait_until(lambda: "no queue 'made'" in gw.lines.getvalue())
+                publisher = await Publisher().connect(b.port)
+                await publisher.client.request(codec.QueueDeclare(0, "made", durable=True))
                 await up(gw)
-                corr = asker.publish(to="made", exchange="", tenant="t", function="f", **{"class": "lectura"})
-                assert await asker.answer(corr) == ("served", "ok")
+                correlation = publisher.publish(
+                    to="made", exchange="", tenant="t", function="f", **{"class": "lectura"}
+                )
+                assert await publisher.answer(correlation) == ("served", "ok")
                 b.fault("delete", queue="made")
                 await up(gw, False)
-                await asker.client.request(codec.QueueDeclare(0, "made", durable=True))
+                await publisher.client.request(codec.QueueDeclare(0, "made", durable=True))
                 await up(gw)
-                corr = asker.publish(to="made", exchange="", tenant="t", function="f", **{"class": "lectura"})
-                assert await asker.answer(corr) == ("served", "ok")
+                correlation = publisher.publish(
+                    to="made", exchange="", tenant="t", function="f", **{"class": "lectura"}
+                )
+                assert await publisher.answer(correlation) == ("served", "ok")
 
     run(main())
 
@@ -473,7 +487,7 @@
                     if good:
                         await up(gw)  # the third address, after two that fail
                     else:
-                        await settle(lambda gw=gw: "the login was refused" in gw.lines.getvalue(), 8)
+                        await wait_until(lambda gw=gw: "the login was refused" in gw.lines.getvalue(), 8)
                     text = gw.lines.getvalue()
                     assert "no connection" in text and "not 0-9-1" in text
                     assert "wrong" not in text and "secret" not in text
@@ -491,24 +505,24 @@
         async with broker() as b, raw_worker(keyed(calls)) as w:
             async with consuming(tmp_path, b.port, [w], queue=queue):
                 pass
-            asker = await Asker().connect(b.port)
+            publisher = await Publisher().connect(b.port)
             for number, priority in enumerate([0, 0, 0, 5, 9, 200]):
-                properties = trigger(f"{number}", asker.reply, f"p{number}", 2_900)
+                properties = trigger(f"{number}", publisher.reply, f"p{number}", 2_900)
                 properties.priority = priority
-                asker.client.publish("calls", "calls.t.lectura.f", properties, b"x")
-            await settle(lambda: len(b.queues["calls"].ready) == 6)
+                publisher.client.publish("calls", "calls.t.lectura.f", properties, b"x")
+            await wait_until(lambda: len(b.queues["calls"].ready) == 6)
             async with consuming(tmp_path, b.port, [w], more="prefetch-least=1 prefetch-most=1", queue=queue):
                 for number in range(6):
-                    await asker.answer(f"p{number}")
+                    await publisher.answer(f"p{number}")
             assert calls == ["4", "5", "3", "0", "1", "2"]
 
     run(main())
 
 
 def test_the_command_line_publishes_one_trigger(tmp_path):
-    async def call(*words):
+    async def call(*arguments):
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "swiftwell", "call", "--amqp", "--json", *words, stdout=subprocess.PIPE,
+            sys.executable, "-m", "swiftwell", "call", "--amqp", "--json", *arguments, stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
         )  # fmt: skip
         out, _ = await process.communicate()
@@ -524,19 +538,19 @@
                 call("127.0.0.1:1", "calls/t/lectura/f"),
             )
             assert [code for code, _ in results] == [0, 3, 1, 1]
-            told = [one["reason"] for _, one in results]
-            assert results[0][1]["body"] == "done" and told[1] == "unknown-class"
-            assert "no queue takes it" in told[2] and "no connection" in told[3]
+            reasons = [answer["reason"] for _, answer in results]
+            assert results[0][1]["body"] == "done" and reasons[1] == "unknown-class"
+            assert "no queue takes it" in reasons[2] and "no connection" in reasons[3]
 
     run(main())
 
 
-# A new process takes over, with the connection to the broker.
+# Handover to a new process, with the connection to the broker.
 
 
 @asynccontextmanager
 async def process(folder, b, worker, more=""):
-    """Gateway processes on one state folder: a function that starts one, and all that were started."""
+    """Gateway processes on one state folder; yields a start function and the list of all processes."""
     site, started = folder / "s.kdl", []
     site.write_text(
         SITE.format(
@@ -545,24 +559,24 @@
         )
     )  # fmt: skip
 
-    async def start(*words):
+    async def start(*arguments):
         with open(folder / "log", "ab") as err:
-            one = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "swiftwell", "serve", str(site), "--ready", *words,
+            gateway_process = await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "swiftwell", "serve", str(site), "--ready", *arguments,
                 stdout=asyncio.subprocess.PIPE, stderr=err,
             )  # fmt: skip
-        started.append(one)
-        assert await one.stdout.readline(), (folder / "log").read_text()[-2_000:]
-        return one
+        started.append(gateway_process)
+        assert await gateway_process.stdout.readline(), (folder / "log").read_text()[-2_000:]
+        return gateway_process
 
     try:
         yield start, started
     finally:
-        for one in started:
-            if one.returncode is None:
-                one.terminate()
-        for one in started:
-            await one.wait()
+        for gateway_process in started:
+            if gateway_process.returncode is None:
+                gateway_process.terminate()
+        for gateway_process in started:
+            await gateway_process.wait()
 
 
 def test_a_new_process_takes_over_with_the_brokers_connection(tmp_path):
@@ -574,32 +588,34 @@
             process(tmp_path, b, w) as (start, started),
         ):
             await start()
-            await settle(lambda: b.queues.get("calls") and b.queues["calls"].consumers)
-            (link,) = [one for one in b.connections if one.name == "gw"]
-            asker, asks, stop = await Asker().connect(b.port), [], asyncio.Event()
+            await wait_until(lambda: b.queues.get("calls") and b.queues["calls"].consumers)
+            (link,) = [connection for connection in b.connections if connection.name == "gw"]
+            publisher, correlations, stop = await Publisher().connect(b.port), [], asyncio.Event()
 
             async def steady():
                 while not stop.is_set():
-                    request_class = "consigna" if len(asks) % 2 else "lectura"
-                    asks.append(asker.publish(request_class, f"k{len(asks)}", 2_900, body=b"x" * 3_000))
+                    request_class = "consigna" if len(correlations) % 2 else "lectura"
+                    correlations.append(
+                        publisher.publish(request_class, f"k{len(correlations)}", 2_900, body=b"x" * 3_000)
+                    )
                     await asyncio.sleep(0.12)
 
             load = asyncio.ensure_future(steady())
-            b.pieces = 100  # contents are under way, in many frames, at any moment
+            b.pieces = 100  # small frames, so that handovers happen amid contents
             for _ in range(3):
                 await asyncio.sleep(0.4)
                 await start("--take-over")
                 assert await started[-2].wait() == 0
             stop.set()
             await load
-            kinds = [(await asker.answer(corr))[0] for corr in asks]
+            kinds = [(await publisher.answer(correlation))[0] for correlation in correlations]
             assert "failed" not in kinds and kinds.count("served") >= 5
-            assert link in b.connections  # the same connection all along
+            assert link in b.connections  # the same connection is still open
             assert not any(event["ev"] == "violation" for event in b.trace.kept)
-            assert all(len(told) == 1 for told in asker.answers.values())
+            assert all(len(answers) == 1 for answers in publisher.answers.values())
             unsafe = [key for key in calls if int(key[1:]) % 2]
             assert len(unsafe) == len(set(unsafe)) > 0
-            await settle(lambda: not unacked(b))
+            await wait_until(lambda: not unacked(b))
 
     run(main())
 
@@ -612,10 +628,10 @@
             process(tmp_path, b, w) as (start, _),
         ):
             await start()
-            await settle(lambda: b.queues.get("calls") and b.queues["calls"].consumers)
-            asker = await Asker().connect(b.port)
-            corr = asker.publish("consigna", "k", 2_900)
-            await settle(lambda: not unacked(b) and not b.queues["calls"].ready)
+            await wait_until(lambda: b.queues.get("calls") and b.queues["calls"].consumers)
+            publisher = await Publisher().connect(b.port)
+            correlation = publisher.publish("consigna", "k", 2_900)
+            await wait_until(lambda: not unacked(b) and not b.queues["calls"].ready)
             await asyncio.sleep(0.1)
             b._server.stop()
             for connection in list(b.connections):
@@ -624,12 +640,12 @@
             await asyncio.sleep(0.05)
             await start("--take-over")
             b._again()
-            assert await asker.answer(corr) == ("served", "ok")
+            assert await publisher.answer(correlation) == ("served", "ok")
 
     run(main())
 
 
-# An independent peer, in a process of its own.
+# An independent AMQP library, in a process of its own.
 
 PIKA = """
 import json, sys
@@ -676,11 +692,11 @@
 def test_pika_publishes_through_the_whole_path(tmp_path):
     async def main():
         async with broker() as b, raw_worker(serving) as w, consuming(tmp_path, b.port, [w]):
-            for told in await asyncio.gather(*(pika(b.port, f"p{n}") for n in range(3))):
-                assert [g[0] for g in told["got"]] == [str(n) for n in range(20)]
-                kinds = [g[1] for g in told["got"]]
+            for result in await asyncio.gather(*(pika(b.port, f"p{n}") for n in range(3))):
+                assert [g[0] for g in result["got"]] == [str(n) for n in range(20)]
+                kinds = [g[1] for g in result["got"]]
                 assert set(kinds) <= {"served", "refused"} and kinds.count("served") >= 10
-                assert told["unroutable"] is True
+                assert result["unroutable"] is True
 
     run(main())
 
@@ -757,13 +773,16 @@
             )
             out, _ = await process.communicate()
             assert process.returncode == 0
-            told = json.loads(out)
-            assert told["counts"] == [3, 3, 1]  # one has expired
-            assert told["first"] == "2" and told["again"] == ["2", True]  # by priority; back in its place
-            assert told["prefetch"] == ["1"] and told["after"] == ["1", "0"]
-            assert told["recovered"][-1] == "0"
-            assert told["deaths"] == [["2", "rejected"], ["late", "expired"]]
-            assert told["purged"] == 3 and told["missing"] == 404 and told["other"] == 406
+            result = json.loads(out)
+            assert result["counts"] == [3, 3, 1]  # one has expired
+            assert result["first"] == "2" and result["again"] == [
+                "2",
+                True,
+            ]  # by priority; requeued at its place
+            assert result["prefetch"] == ["1"] and result["after"] == ["1", "0"]
+            assert result["recovered"][-1] == "0"
+            assert result["deaths"] == [["2", "rejected"], ["late", "expired"]]
+            assert result["purged"] == 3 and result["missing"] == 404 and result["other"] == 406
             assert isinstance(b, AmqpBroker) and not b.connections
 
     run(main())
--- a/tests/test_amqp_codec.py
+++ b/tests/test_amqp_codec.py
@@ -1,4 +1,4 @@
-"""AMQP on the wire: round trips, every cut, bounds, and the same bytes as an independent library."""
+"""The AMQP codec: round trips, split input, limits, and comparison with an independent library."""
 
 import contextlib
 import dataclasses
@@ -54,7 +54,7 @@
 
 
 def method(cls):
-    return st.builds(cls, **{one.name: FIELDS[one.type] for one in dataclasses.fields(cls)})
+    return st.builds(cls, **{field.name: FIELDS[field.type] for field in dataclasses.fields(cls)})
 
 
 PROPERTIES = st.builds(
@@ -75,9 +75,9 @@
 @given(st.data())
 @settings(max_examples=300, derandomize=True, deadline=None)
 def test_every_method_comes_back_as_it_was(data):
-    one = data.draw(st.one_of([method(cls) for cls in METHODS]))
-    ((channel, found),) = Decoder(1 << 24).feed(encode(7, one))
-    assert (channel, found) == (7, one)
+    sent = data.draw(st.one_of([method(cls) for cls in METHODS]))
+    ((channel, received),) = Decoder(1 << 24).feed(encode(7, sent))
+    assert (channel, received) == (7, sent)
 
 
 def test_all_methods_of_the_specification_are_known():
@@ -92,18 +92,23 @@
 @given(st.integers(1, 65_535), PROPERTIES, st.binary(max_size=9_000), st.integers(0, 50))
 @settings(max_examples=120, derandomize=True, deadline=None)
 def test_contents_are_put_together_from_any_pieces(channel, properties, body, pieces):
-    told = codec.Deliver("t", 5, True, "x", "k")
+    deliver = codec.Deliver("t", 5, True, "x", "k")
     small = min(pieces, 50) if len(body) < 400 else 0
-    raw = encode_content(channel, told, properties, body, 4_096, small)
+    raw = encode_content(channel, deliver, properties, body, 4_096, small)
     wire, got = Wire(4_096, 1 << 20), []
-    chance = random.Random(len(raw))
+    rng = random.Random(len(raw))
     at = 0
     while at < len(raw):
-        size = chance.randrange(1, 2_000)
+        size = rng.randrange(1, 2_000)
         got += wire.feed(raw[at : at + size])
         at += size
-    (one,) = got
-    assert (one.channel, one.method, one.properties, one.body) == (channel, told, properties, body)
+    (incoming,) = got
+    assert (incoming.channel, incoming.method, incoming.properties, incoming.body) == (
+        channel,
+        deliver,
+        properties,
+        body,
+    )
 
 
 def test_what_is_not_whole_yet_can_go_to_another_process():
@@ -121,24 +126,30 @@
 def test_a_body_larger_than_is_kept_is_skipped_and_told():
     raw = encode_content(1, codec.Deliver("t", 1, False, "", "k"), Properties(), bytes(50_000), 4_096)
     wire = Wire(4_096, 10_000)
-    (one, after) = wire.feed(raw + encode(1, codec.QosOk()))
-    assert one.too_large and one.body == b"" and isinstance(after.method, codec.QosOk)
+    (incoming, following) = wire.feed(raw + encode(1, codec.QosOk()))
+    assert incoming.too_large and incoming.body == b"" and isinstance(following.method, codec.QosOk)
 
 
 @pytest.mark.parametrize(
     ("raw", "code"),
     [
-        (b"\x09" + bytes(6) + b"\xce", Code.FRAME_ERROR),  # no such type of frame
-        (b"\x01\0\0\0\0\x20\0", Code.FRAME_ERROR),  # larger than agreed, before it has come
-        (b"\x01\0\0\0\0\0\x04\0\x3c\0\x0a\x00", Code.FRAME_ERROR),  # does not end as a frame does
-        (b"\x01\0\x01\0\0\0\x04\0\x63\0\x0a\xce", Code.NOT_IMPLEMENTED),  # no such class
-        (b"\x01\0\x01\0\0\0\x02\0\x3c\xce", Code.SYNTAX_ERROR),  # ends within the numbers
+        (b"\x09" + bytes(6) + b"\xce", Code.FRAME_ERROR),  # unknown frame type
+        (
+            b"\x01\0\0\0\0\x20\0",
+            Code.FRAME_ERROR,
+        ),  # larger than negotiated, rejected before its payload arrives
+        (b"\x01\0\0\0\0\0\x04\0\x3c\0\x0a\x00", Code.FRAME_ERROR),  # wrong end octet
+        (b"\x01\0\x01\0\0\0\x04\0\x63\0\x0a\xce", Code.NOT_IMPLEMENTED),  # unknown class
+        (b"\x01\0\x01\0\0\0\x02\0\x3c\xce", Code.SYNTAX_ERROR),  # ends within the method number
         (b"\x01\0\x01\0\0\0\x05\0\x3c\0\x0a\x01\xce", Code.SYNTAX_ERROR),  # ends within a field
-        (b"\x01\0\x01\0\0\0\x05\0\x3c\0\x0b\x01\xce", Code.SYNTAX_ERROR),  # goes on beyond its fields
-        (b"\x01\0\x01\0\0\0\x06\0\x3c\0\x1f\x09a\xce", Code.SYNTAX_ERROR),  # a string beyond the frame
+        (b"\x01\0\x01\0\0\0\x05\0\x3c\0\x0b\x01\xce", Code.SYNTAX_ERROR),  # trailing bytes
+        (b"\x01\0\x01\0\0\0\x06\0\x3c\0\x1f\x09a\xce", Code.SYNTAX_ERROR),  # a string exceeds the frame
         (b"\x01\0\x01\0\0\0\x06\0\x3c\0\x1f\x01\xff\xce", Code.SYNTAX_ERROR),  # not UTF-8
         (b"\x08\0\x01\0\0\0\0\xce", Code.FRAME_ERROR),  # a heartbeat on a channel
-        (b"\x02\0\x01\0\0\0\x0e\0\x3c\0\0" + bytes(8) + b"\0\x01\xce", Code.SYNTAX_ERROR),  # more flags
+        (
+            b"\x02\0\x01\0\0\0\x0e\0\x3c\0\0" + bytes(8) + b"\0\x01\xce",
+            Code.SYNTAX_ERROR,
+        ),  # second word of flags
     ],
 )
 def test_wrong_frames_end_with_their_code(raw, code):
@@ -177,7 +188,7 @@
     "frames",
     [
         encode(1, codec.Deliver()) + encode(1, codec.QosOk()),  # a method within a content
-        codec._frame(codec.BODY, 1, b"x"),  # a body of nothing
+        codec._frame(codec.BODY, 1, b"x"),  # a body without a method
         codec._frame(codec.HEADER, 1, codec._encode_header(codec.Header(1, Properties()))),
         encode_content(1, codec.Deliver(), Properties(), b"", 4_096)[:-1] + b"\xce"
         + codec._frame(codec.BODY, 1, b"x"),
@@ -217,7 +228,7 @@
         "on": True,
         "t": {"x": None},
         "l": [1, "two"],
-    }  # its doubles come back as integers
+    }  # no floats: the library decodes doubles as integers
     ours = Properties(
         content_type="text/plain", headers=headers, delivery_mode=2, priority=3, correlation_id="c",
         reply_to="r", expiration="5", message_id="m", timestamp=9, type="t", user_id="u", app_id="a",
@@ -237,40 +248,44 @@
         pika_frame.Method(4, pieces[0].method).marshal() + pika_frame.Header(4, len(body), theirs).marshal()
     )
     back += b"".join(pika_frame.Body(4, piece.fragment).marshal() for piece in pieces[2:])
-    (one,) = Wire(8_192, 1 << 20).feed(back)
-    assert (one.method, one.properties, one.body) == (codec.Publish(0, "x", "k.y", True), ours, body)
+    (incoming,) = Wire(8_192, 1 << 20).feed(back)
+    assert (incoming.method, incoming.properties, incoming.body) == (
+        codec.Publish(0, "x", "k.y", True),
+        ours,
+        body,
+    )
 
 
 @pytest.mark.parametrize("cls", METHODS)
 def test_pika_writes_the_same_bytes_for_each_method(cls):
     theirs = pika.spec.methods.get(cls.id[0] << 16 | cls.id[1])
     if cls is codec.UpdateSecret:
-        return  # the library can't read it: it makes each method without arguments first
-    chance = random.Random(str(cls.id))
-    one = cls(**{
+        return  # the library can't decode it, as it constructs each method without arguments
+    rng = random.Random(str(cls.id))
+    instance = cls(**{
         field.name: {
-            "Octet": 7, "ShortInt": chance.randrange(1 << 16), "LongInt": chance.randrange(1 << 32),
-            "LongLong": chance.randrange(1 << 60), "ShortStr": "text", "LongStr": b"long",
-            "Table": {"a": "b"}, "Bit": chance.random() < 0.5,
+            "Octet": 7, "ShortInt": rng.randrange(1 << 16), "LongInt": rng.randrange(1 << 32),
+            "LongLong": rng.randrange(1 << 60), "ShortStr": "text", "LongStr": b"long",
+            "Table": {"a": "b"}, "Bit": rng.random() < 0.5,
         }[field.type]
         for field in dataclasses.fields(cls)
     })  # fmt: skip
-    raw = encode(2, one)
+    raw = encode(2, instance)
     _, frame = pika_frame.decode_frame(raw)
     assert type(frame.method) is theirs
-    # Reserved fields are not kept by the other side: they are compared as the frame was read.
-    plain = dataclasses.replace(one, **{
-        field.name: type(getattr(one, field.name))() for field in dataclasses.fields(cls)
+    # The library drops reserved fields, so they are compared with their default values.
+    plain = dataclasses.replace(instance, **{
+        field.name: type(getattr(instance, field.name))() for field in dataclasses.fields(cls)
         if field.name.startswith("reserved")
     })  # fmt: skip
-    again = pika_frame.Method(2, frame.method).marshal()
-    assert Decoder().feed(again)[0][1] == plain or again == raw
+    reencoded = pika_frame.Method(2, frame.method).marshal()
+    assert Decoder().feed(reencoded)[0][1] == plain or reencoded == raw
 
 
 def test_topics_match_as_they_should():
-    for pattern, key, fits in [
+    for pattern, key, expected in [
         ("a.b", "a.b", True), ("a.*", "a.b", True), ("a.*", "a.b.c", False), ("a.#", "a", True),
         ("a.#", "a.b.c", True), ("#", "", True), ("#.c", "a.b.c", True), ("a.#.c.#", "a.x.c.d", True),
         ("*", "", True), ("*.b", "b", False), ("#.#", "a", True), ("a.*.#", "a", False),
     ]:  # fmt: skip
-        assert matches(pattern, key) is fits, (pattern, key)
+        assert matches(pattern, key) is expected, (pattern, key)
--- a/tests/test_amqp_decisions.py
+++ b/tests/test_amqp_decisions.py
@@ -1,4 +1,4 @@
-"""AMQP without sockets: how much to hold, what a redelivery may do, and the consumer's state machine."""
+"""AMQP without sockets: the prefetch limit, redeliveries, the contract and the consumer's state machine."""
 
 from dataclasses import replace
 
@@ -18,25 +18,25 @@
 from swiftwell.fronts.trigger import Answer, Kind
 from swiftwell.interface import Effect
 
-# How much to hold.
+# The prefetch limit.
 
 
-def play(prefetch, capacity, seconds, backlog=True, now=0, work=4):
-    """A gateway that can run `capacity` at a time, each for `work` looks; a queue that always has more.
+def simulate(prefetch, capacity, seconds, backlog=True, now=0, work=4):
+    """Simulate a gateway that runs `capacity` triggers at a time, each for `work` updates.
 
-    Gives what was held after each look.
+    With `backlog`, the queue is never empty.  Returns the triggers held after each update, and the time.
     """
     running, waiting, held = [], 0, []
     for _ in range(int(seconds * 1e6 / TICK_US)):
         now += TICK_US
-        ended = sum(left == 0 for left in running)
+        answered = sum(left == 0 for left in running)
         running = [left - 1 for left in running if left]
         room = max(0, prefetch.limit - len(running) - waiting) if backlog else 0
         waiting += room
         start = min(waiting, capacity - len(running))
         running += [work] * start
         waiting -= start
-        prefetch.update(now, len(running) + waiting, len(running), waiting, ended)
+        prefetch.update(now, len(running) + waiting, len(running), waiting, answered)
         held.append(len(running) + waiting)
     return held, now
 
@@ -44,76 +44,79 @@
 @pytest.mark.parametrize("capacity", [1, 5, 40, 300, 2_000])
 def test_the_fleet_is_kept_busy_and_little_more_is_held(capacity):
     prefetch = Prefetch()
-    held, _ = play(prefetch, capacity, 20)
+    held, _ = simulate(prefetch, capacity, 20)
     settled = held[len(held) // 2 :]
     assert min(settled) >= 0.9 * min(capacity, max(INITIAL_LIMIT, capacity))
-    # What is held beyond what runs ends within the line's time and a quarter of it, or is the least there is.
-    pace = capacity / 0.25  # triggers a second: each takes five looks
-    assert max(settled) <= max(INITIAL_LIMIT + MIN_BACKLOG, capacity + 1.25 * pace * BACKLOG_S + MIN_BACKLOG)
+    # The backlog completes within 1.25 times BACKLOG_S, or is the minimum.
+    calls_per_s = capacity / 0.25  # each takes five updates
+    assert max(settled) <= max(
+        INITIAL_LIMIT + MIN_BACKLOG, capacity + 1.25 * calls_per_s * BACKLOG_S + MIN_BACKLOG
+    )
 
 
 def test_a_limit_that_is_not_used_falls_back_and_grows_again():
     prefetch = Prefetch()
-    _, now = play(prefetch, 500, 10)
+    _, now = simulate(prefetch, 500, 10)
     assert prefetch.limit > 400
-    _, now = play(prefetch, 500, 4, backlog=False, now=now)
+    _, now = simulate(prefetch, 500, 4, backlog=False, now=now)
     assert prefetch.limit == INITIAL_LIMIT
-    held, _ = play(prefetch, 500, 3, now=now)
-    assert max(held[:20]) >= 300  # a second is enough to be back
+    held, _ = simulate(prefetch, 500, 3, now=now)
+    assert max(held[:20]) >= 300  # within a second
 
 
 def test_less_capacity_is_learnt_at_once():
     prefetch = Prefetch()
-    _, now = play(prefetch, 400, 10)
+    _, now = simulate(prefetch, 400, 10)
     assert prefetch.limit >= 1_000
-    _, now = play(prefetch, 50, 0.5, now=now)
-    assert prefetch.limit <= 400  # what ended so fast until now still counts for the line
-    play(prefetch, 50, 2, now=now)
+    _, now = simulate(prefetch, 50, 0.5, now=now)
+    assert prefetch.limit <= 400  # the former completion rate still counts for the backlog
+    simulate(prefetch, 50, 2, now=now)
     assert prefetch.limit <= 180
 
 
 def test_bounds_hold_and_equal_bounds_are_a_fixed_prefetch():
-    for least, most in ((1, 1), (1, 10), (100, 100), (65_535, 65_535), (20, 40)):
-        prefetch = Prefetch(least, most)
+    for minimum, maximum in ((1, 1), (1, 10), (100, 100), (65_535, 65_535), (20, 40)):
+        prefetch = Prefetch(minimum, maximum)
         for capacity in (1, 30, 200):
-            play(prefetch, capacity, 3)
-            assert least <= prefetch.limit <= most
+            simulate(prefetch, capacity, 3)
+            assert minimum <= prefetch.limit <= maximum
 
 
 def test_nothing_that_runs_yet_is_no_reason_to_hold_less():
-    """At a cold start all wait for copies: the limit stays where functions are found out."""
+    """At a cold start all triggers wait for copies; the limit stays at its initial value or above."""
     prefetch = Prefetch()
-    for look in range(40):
-        prefetch.update(look * TICK_US, INITIAL_LIMIT, 0, INITIAL_LIMIT, 0)
+    for update in range(40):
+        prefetch.update(update * TICK_US, INITIAL_LIMIT, 0, INITIAL_LIMIT, 0)
     assert prefetch.limit >= INITIAL_LIMIT
 
 
 def test_what_may_have_waited_at_the_broker_is_not_taken_for_skew():
-    """A gateway that starts before a full queue: each message's wait counts, whatever is not known yet."""
+    """When a gateway starts on a full queue, the time in the queue is not mistaken for clock skew."""
     now = 1e12
     skew = ClockSkew()
     for number in range(20):
         assert skew.transit_ms("p", now - 1_500 + number, now, False, fresh=False) == 1_500 - number
-    # Once the queue is empty, a clock that is 300 ms behind is told from a wait.
+    # Once the queue is empty, a clock that is 300 ms behind is recognised as skew.
     for _ in range(3):
         assert skew.transit_ms("p", now - 300, now, False, fresh=True) == 0
     assert skew.transit_ms("p", now - 1_800, now, False, fresh=False) == 1_500
-    # A clock that is ahead may be learnt at any time: no message comes before it was sent.
+    # A clock that is ahead is recognised at any time: no message arrives before it was sent.
     assert skew.transit_ms("p", now + 200, now, False, fresh=False) == 0
     assert skew.transit_ms("p", now + 200 - 50, now, False, fresh=False) == 50
-    bench = Bench()
-    bench.deliver(**{"sent-ms": 1e12 - 1_500, "timeout-ms": 2_000})  # just after the link came up
-    assert bench.host.triggers[0].left_us == 500_000
-    bench.now += 1
-    bench.deliver(**{"sent-ms": 1e12 - 1_500, "timeout-ms": 2_000})
-    assert bench.host.triggers[1].left_us == 2_000_000  # with room all the time, nothing waits
+    harness = ConsumerHarness()
+    harness.deliver(**{"sent-ms": 1e12 - 1_500, "timeout-ms": 2_000})  # just after the link was established
+    assert harness.host.triggers[0].left_us == 500_000
+    harness.now += 1
+    harness.deliver(**{"sent-ms": 1e12 - 1_500, "timeout-ms": 2_000})
+    # With spare prefetch all the time, no message waits at the broker.
+    assert harness.host.triggers[1].left_us == 2_000_000
 
 
-# What a redelivery may do.
+# Redeliveries.
 
 
 @pytest.mark.parametrize(
-    ("told", "alone", "allowed", "doubt"),
+    ("delivery", "alone", "policy", "expected"),
     [
         (Delivery(False, None, 0), False, RedeliveryPolicy.NEVER, False),
         (Delivery(True, None, 0), True, RedeliveryPolicy.NEVER, False),
@@ -123,8 +126,8 @@
         (Delivery(True, 1_000_000, 999_999 + SLACK_US), False, RedeliveryPolicy.KNOWN, True),
     ],
 )
-def test_a_redelivered_effect_runs_only_if_no_acknowledgement_can_be_lost(told, alone, allowed, doubt):
-    assert may_have_run(told, alone, allowed) is doubt
+def test_a_redelivered_effect_runs_only_if_no_acknowledgement_can_be_lost(delivery, alone, policy, expected):
+    assert may_have_run(delivery, alone, policy) is expected
 
 
 # The contract.
@@ -134,16 +137,16 @@
     return Contract("calls", {"lectura": 3_000.0, "consigna": 3_000.0}, lambda name: FunctionHint(), alone)
 
 
-def read(properties, key="calls.t.lectura.heat.f", body=b"x", now=1e12, again=False, one=None):
-    one = one or contract()
-    deliver = codec.Deliver("c", 1, again, "calls", key)
-    ref = one.ref(deliver, properties, (None, 1), 0.0)
-    return one.read(deliver, properties, body, "amqp:b", ref, now)
+def read(properties, key="calls.t.lectura.heat.f", body=b"x", now=1e12, redelivered=False, contract_=None):
+    contract_ = contract_ or contract()
+    deliver = codec.Deliver("c", 1, redelivered, "calls", key)
+    ref = contract_.ref(deliver, properties, (None, 1), 0.0)
+    return contract_.read(deliver, properties, body, "amqp:b", ref, now)
 
 
 def test_a_message_as_a_trigger():
     headers = {"key": "k", "timeout-ms": 900, "memory-mb": 5, "lanes": "2", "attempt": 1}
-    trigger, age = read(Properties(headers=headers, reply_to="r", correlation_id="c"), again=True)
+    trigger, age = read(Properties(headers=headers, reply_to="r", correlation_id="c"), redelivered=True)
     assert (trigger.tenant, trigger.request_class, trigger.function, trigger.key) == (
         "t",
         "lectura",
@@ -160,28 +163,28 @@
 
 def test_time_left_by_expiration_clocks_and_headers():
     now = 1e12
-    # An expiration is not counted down: with the moment of sending it is the patience from then.
-    one = contract()
+    # An expiration is not counted down: with the time of sending, it is the time-out since then.
+    same_contract = contract()
     for _ in range(3):
-        read(Properties(headers={"sent-ms": now}, reply_to="r"), now=now, one=one)
+        read(Properties(headers={"sent-ms": now}, reply_to="r"), now=now, contract_=same_contract)
     late = Properties(headers={"sent-ms": now - 700}, expiration="2000", reply_to="r")
-    trigger, age = read(late, now=now, one=one)
+    trigger, age = read(late, now=now, contract_=same_contract)
     assert trigger.left_us == 1_300_000 and age == 700
-    # Expired on arrival: nothing is left, whatever the clock says of it.
-    gone = Properties(headers={"sent-ms": now - 2_500}, expiration="2000", reply_to="r")
-    assert read(gone, now=now, one=one)[0].left_us == 0
-    # Without it, the expiration is all that is known; a timestamp is taken at the end of its second.
+    # Expired on arrival: no time is left.
+    expired = Properties(headers={"sent-ms": now - 2_500}, expiration="2000", reply_to="r")
+    assert read(expired, now=now, contract_=same_contract)[0].left_us == 0
+    # Without the time of sending, only the expiration counts; a timestamp means the end of its second.
     assert read(Properties(expiration="500"), now=now)[0].left_us == 500_000
     _, age = read(Properties(timestamp=int(now / 1e3) - 5), now=now)
     assert age == 4_000
-    # A publisher's clock that is an hour off costs its calls nothing once that is known.
+    # A publisher's clock that is off by an hour costs its calls no time once the skew is known.
     for ahead in (3_600_000, -3_600_000):
         skewed = contract()
         for _ in range(4):
             trigger, _ = read(
                 Properties(headers={"sent-ms": now + ahead, "timeout-ms": 1_000}, reply_to="s"),
                 now=now,
-                one=skewed,
+                contract_=skewed,
             )
         assert trigger.left_us == 1_000_000
 
@@ -210,7 +213,7 @@
 
 
 class Host:
-    """A gateway that the test plays."""
+    """The gateway, played by the test."""
 
     def __init__(self):
         self.triggers, self.lines, self.running = [], [], (0, 0)
@@ -234,8 +237,8 @@
         self.lines.append(event)
 
 
-class Bench:
-    """A consumer whose broker is the test: it sees every method that goes out."""
+class ConsumerHarness:
+    """A consumer with the test as its broker, which receives every method sent."""
 
     def __init__(self, alone=True, **more):
         self.now, self.host, self.tag = 100.0, Host(), 0
@@ -252,243 +255,250 @@
         self.consumer.on_event(Ready())
         for channel in (CONSUME, PUBLISH):
             self.session.channels[channel] = "open"
-            self.give(codec.ChannelOpenOk(), channel)
-        self.give(codec.ConfirmSelectOk(), PUBLISH)
-        self.give(codec.QosOk())
-        self.give(codec.ConsumeOk("b-0"))
+            self.receive(codec.ChannelOpenOk(), channel)
+        self.receive(codec.ConfirmSelectOk(), PUBLISH)
+        self.receive(codec.QosOk())
+        self.receive(codec.ConsumeOk("b-0"))
         self.sent()
 
-    def give(self, method, channel=CONSUME, properties=None, body=b""):
+    def receive(self, method, channel=CONSUME, properties=None, body=b""):
         self.consumer.on_event(Incoming(channel, method, properties, body))
         self.consumer.after_batch()
 
-    def deliver(self, request_class="lectura", key="", corr="", again=False, body=b"x", **more):
+    def deliver(self, request_class="lectura", key="", correlation="", redelivered=False, body=b"x", **more):
         self.tag += 1
         headers = {"key": key or f"k{self.tag}"} | more
-        properties = Properties(headers=headers, reply_to="r", correlation_id=corr or f"q{self.tag}")
-        deliver = codec.Deliver("b-0", self.tag, again, "calls", f"calls.t.{request_class}.f")
-        self.give(deliver, CONSUME, properties, body)
+        properties = Properties(headers=headers, reply_to="r", correlation_id=correlation or f"q{self.tag}")
+        deliver = codec.Deliver("b-0", self.tag, redelivered, "calls", f"calls.t.{request_class}.f")
+        self.receive(deliver, CONSUME, properties, body)
         return self.tag
 
     def sent(self):
-        """What went out since the last look."""
-        return [one.method for one in self.wire.feed(self.session.take_send_buffer()) if one is not None]
+        """The methods sent since the previous call."""
+        return [
+            incoming.method
+            for incoming in self.wire.feed(self.session.take_send_buffer())
+            if incoming is not None
+        ]
 
     def reply(self, number=-1, kind=Kind.SERVED):
         self.consumer.replied(self.host.triggers[number], Answer(kind, "ok"))
 
 
 def kinds(methods):
-    return [type(one).__name__ for one in methods]
+    return [type(method).__name__ for method in methods]
 
 
 def test_a_safe_trigger_is_acknowledged_once_its_answer_is_confirmed():
-    bench = Bench()
-    tag = bench.deliver()
-    assert len(bench.host.triggers) == 1 and bench.sent() == []
-    bench.reply()
-    (published,) = bench.sent()
+    harness = ConsumerHarness()
+    tag = harness.deliver()
+    assert len(harness.host.triggers) == 1 and harness.sent() == []
+    harness.reply()
+    (published,) = harness.sent()
     assert published.routing_key == "r" and published.mandatory
-    bench.give(codec.Ack(1), PUBLISH)
-    assert bench.sent() == [codec.Ack(tag)]
+    harness.receive(codec.Ack(1), PUBLISH)
+    assert harness.sent() == [codec.Ack(tag)]
 
 
 def test_an_effect_is_acknowledged_and_the_broker_asked_before_it_is_submitted():
-    bench = Bench()
-    tags = [bench.deliver("consigna"), bench.deliver("consigna")]
-    out = bench.sent()
-    assert kinds(out) == ["Ack", "Qos", "Ack", "Qos"] and [out[0].delivery_tag, out[2].delivery_tag] == tags
-    assert bench.host.triggers == []
-    bench.now += 0.25
-    bench.give(codec.QosOk())
-    assert [t.key for t in bench.host.triggers] == ["k1"]
-    assert bench.host.triggers[0].left_us == 3_000_000 - 250_000  # the wait counts
-    bench.give(codec.QosOk())
-    assert len(bench.host.triggers) == 2
-    bench.reply()
-    bench.give(codec.Ack(1), PUBLISH)
-    assert kinds(bench.sent()) == ["Publish"]  # not acknowledged again
+    harness = ConsumerHarness()
+    tags = [harness.deliver("consigna"), harness.deliver("consigna")]
+    methods = harness.sent()
+    assert (
+        kinds(methods) == ["Ack", "Qos", "Ack", "Qos"]
+        and [methods[0].delivery_tag, methods[2].delivery_tag] == tags
+    )
+    assert harness.host.triggers == []
+    harness.now += 0.25
+    harness.receive(codec.QosOk())
+    assert [t.key for t in harness.host.triggers] == ["k1"]
+    assert harness.host.triggers[0].left_us == 3_000_000 - 250_000  # the wait counts
+    harness.receive(codec.QosOk())
+    assert len(harness.host.triggers) == 2
+    harness.reply()
+    harness.receive(codec.Ack(1), PUBLISH)
+    assert kinds(harness.sent()) == ["Publish"]  # not acknowledged again
 
 
 def test_a_connection_lost_between_acknowledgement_and_answer_of_the_broker_is_doubt():
-    bench = Bench(alone=False)
-    bench.deliver("consigna", "k", "c")
-    bench.consumer.disconnected()
-    assert bench.host.triggers == [] and bench.consumer.open_triggers == 0
-    bench.connect()
-    bench.sent()
-    headers = [out.properties.headers for out in bench.consumer.unconfirmed.values()]
+    harness = ConsumerHarness(alone=False)
+    harness.deliver("consigna", "k", "c")
+    harness.consumer.disconnected()
+    assert harness.host.triggers == [] and harness.consumer.open_triggers == 0
+    harness.connect()
+    harness.sent()
+    headers = [message.properties.headers for message in harness.consumer.unconfirmed.values()]
     assert [(h["status"], h["reason"]) for h in headers] == [("failed", "may-have-run")]
-    bench.deliver("consigna", "k", "c", again=True)  # the broker had not processed it: no second answer
-    assert bench.host.triggers == [] and bench.consumer.counts.duplicates == 1
-    assert codec.Ack(2) in bench.sent()
+    harness.deliver("consigna", "k", "c", redelivered=True)  # redelivered: no second answer
+    assert harness.host.triggers == [] and harness.consumer.counts.duplicates == 1
+    assert codec.Ack(2) in harness.sent()
 
 
 def test_a_redelivered_effect_without_a_record_runs_only_where_it_is_known_not_to_have_run():
-    for since, sent, elsewhere in ((0, 1e12 - 500, False), (99, 1e12 - 500, True), (0, None, True)):
-        bench = Bench(alone=False)
-        bench.consumer.connected_at = since
-        more = {} if sent is None else {"sent-ms": sent}
-        bench.deliver("consigna", again=True, **more)
-        bench.give(codec.QosOk())
-        assert bench.host.triggers[0].maybe_seen_elsewhere is elsewhere, (since, sent)
+    for connected_at, sent_ms, elsewhere in ((0, 1e12 - 500, False), (99, 1e12 - 500, True), (0, None, True)):
+        harness = ConsumerHarness(alone=False)
+        harness.consumer.connected_at = connected_at
+        more = {} if sent_ms is None else {"sent-ms": sent_ms}
+        harness.deliver("consigna", redelivered=True, **more)
+        harness.receive(codec.QosOk())
+        assert harness.host.triggers[0].maybe_seen_elsewhere is elsewhere, (connected_at, sent_ms)
 
 
 def test_a_trigger_delivered_again_while_its_call_is_open_has_one_answer():
-    bench = Bench()
-    bench.deliver(key="k", corr="c")
-    bench.consumer.disconnected()
-    bench.connect()
-    tag = bench.deliver(key="k", corr="c", again=True)
-    assert len(bench.host.triggers) == 1
-    bench.reply()
-    bench.give(codec.Ack(1), PUBLISH)
-    assert kinds(bench.sent()) == ["Publish", "Ack"]
-    assert bench.consumer.open_triggers == 0
-    # And again, after its answer: acknowledged without one.
-    bench.consumer.disconnected()
-    bench.connect()
-    bench.deliver(key="k", corr="c", again=True)
-    assert bench.sent() == [codec.Ack(tag + 1)]
+    harness = ConsumerHarness()
+    harness.deliver(key="k", correlation="c")
+    harness.consumer.disconnected()
+    harness.connect()
+    tag = harness.deliver(key="k", correlation="c", redelivered=True)
+    assert len(harness.host.triggers) == 1
+    harness.reply()
+    harness.receive(codec.Ack(1), PUBLISH)
+    assert kinds(harness.sent()) == ["Publish", "Ack"]
+    assert harness.consumer.open_triggers == 0
+    # A redelivery after the answer is acknowledged without another answer.
+    harness.consumer.disconnected()
+    harness.connect()
+    harness.deliver(key="k", correlation="c", redelivered=True)
+    assert harness.sent() == [codec.Ack(tag + 1)]
 
 
 def test_an_answer_without_a_confirm_goes_out_again_marked():
-    bench = Bench()
-    bench.deliver()
-    bench.reply()
-    bench.sent()
-    bench.consumer.disconnected()
-    bench.connect()
-    (out,) = bench.consumer.unconfirmed.values()
-    assert out.properties.headers["repeated"] is True and out.attempts == 1
-    assert bench.consumer.counts.lost_answers == 0
+    harness = ConsumerHarness()
+    harness.deliver()
+    harness.reply()
+    harness.sent()
+    harness.consumer.disconnected()
+    harness.connect()
+    (message,) = harness.consumer.unconfirmed.values()
+    assert message.properties.headers["repeated"] is True and message.attempts == 1
+    assert harness.consumer.counts.lost_answers == 0
 
 
 def test_an_answer_that_the_broker_turns_down_is_tried_later_and_then_given_up():
-    bench = Bench()
-    tag = bench.deliver()
-    bench.reply()
+    harness = ConsumerHarness()
+    tag = harness.deliver()
+    harness.reply()
     for number in range(1, MAX_PUBLISH_ATTEMPTS):
-        assert "Publish" in kinds(bench.sent()), number
-        bench.give(codec.Nack(number), PUBLISH)
-        bench.consumer.tick(0)
-        assert "Publish" not in kinds(bench.sent())  # not at once
-        bench.now += 2
-        bench.consumer.tick(0)
-    bench.sent()
-    bench.give(codec.Nack(MAX_PUBLISH_ATTEMPTS), PUBLISH)
-    assert bench.consumer.counts.lost_answers == 1
-    assert codec.Nack(tag, False, True) in bench.sent()  # a safe one: the broker may give it to another
+        assert "Publish" in kinds(harness.sent()), number
+        harness.receive(codec.Nack(number), PUBLISH)
+        harness.consumer.tick(0)
+        assert "Publish" not in kinds(harness.sent())  # not at once
+        harness.now += 2
+        harness.consumer.tick(0)
+    harness.sent()
+    harness.receive(codec.Nack(MAX_PUBLISH_ATTEMPTS), PUBLISH)
+    assert harness.consumer.counts.lost_answers == 1
+    assert codec.Nack(tag, False, True) in harness.sent()  # safe to repeat: another gateway may take it
 
 
 def test_an_answer_that_no_queue_takes_is_told_and_kept():
     for unroutable in ("", "kept"):
-        bench = Bench(unroutable=unroutable)
-        bench.deliver()
-        bench.reply()
-        bench.sent()
-        (out,) = bench.consumer.unconfirmed.values()
-        bench.give(codec.Return(312, "NO_ROUTE", "", "r"), PUBLISH, out.properties, out.body)
-        bench.give(codec.Ack(1), PUBLISH)
-        assert bench.consumer.counts.unroutable == 1 and "answer-unroutable" in bench.host.lines
-        sent = bench.sent()
+        harness = ConsumerHarness(unroutable=unroutable)
+        harness.deliver()
+        harness.reply()
+        harness.sent()
+        (message,) = harness.consumer.unconfirmed.values()
+        harness.receive(codec.Return(312, "NO_ROUTE", "", "r"), PUBLISH, message.properties, message.body)
+        harness.receive(codec.Ack(1), PUBLISH)
+        assert harness.consumer.counts.unroutable == 1 and "answer-unroutable" in harness.host.lines
+        sent = harness.sent()
         if unroutable:
-            assert [one.routing_key for one in sent] == ["kept"]
-            bench.give(codec.Ack(2), PUBLISH)
-            assert kinds(bench.sent()) == ["Ack"]
+            assert [method.routing_key for method in sent] == ["kept"]
+            harness.receive(codec.Ack(2), PUBLISH)
+            assert kinds(harness.sent()) == ["Ack"]
         else:
             assert kinds(sent) == ["Ack"]
 
 
 def test_blocked_publications_are_bounded_then_refused_then_left_to_the_broker():
-    bench = Bench(max_answers=10)
-    bench.consumer.on_event(Blocked(True, "memory"))
+    harness = ConsumerHarness(max_answers=10)
+    harness.consumer.on_event(Blocked(True, "memory"))
     for number in range(5):
-        bench.deliver()
-        bench.reply(number)
-    assert bench.sent() == [] and len(bench.consumer.outbox) == 5
-    bench.consumer.tick(0)
-    assert "Cancel" in kinds(bench.sent())  # half full: others may take them
-    for number in range(5):  # those on their way already
-        bench.deliver()
-        assert bench.host.triggers[-1].rejection == tr.BLOCKED
-        bench.reply(5 + number, Kind.REFUSED)
-    tag = bench.deliver()
-    assert bench.sent() == [codec.Nack(tag, False, True)] and len(bench.host.triggers) == 10
-    bench.consumer.on_event(Blocked(False))
-    assert kinds(bench.sent()).count("Publish") == 10
-    bench.consumer.tick(0)
-    assert "Consume" in kinds(bench.sent())
+        harness.deliver()
+        harness.reply(number)
+    assert harness.sent() == [] and len(harness.consumer.outbox) == 5
+    harness.consumer.tick(0)
+    assert "Cancel" in kinds(harness.sent())  # half full: left to other gateways
+    for number in range(5):  # deliveries that were already under way
+        harness.deliver()
+        assert harness.host.triggers[-1].rejection == tr.BLOCKED
+        harness.reply(5 + number, Kind.REFUSED)
+    tag = harness.deliver()
+    assert harness.sent() == [codec.Nack(tag, False, True)] and len(harness.host.triggers) == 10
+    harness.consumer.on_event(Blocked(False))
+    assert kinds(harness.sent()).count("Publish") == 10
+    harness.consumer.tick(0)
+    assert "Consume" in kinds(harness.sent())
 
 
 def test_what_can_not_be_read_goes_to_the_dead_letters_with_its_reason():
-    bench = Bench(dead_letter="dead")
-    tag = bench.deliver(**{"timeout-ms": "soon"})
-    assert bench.host.triggers == []
-    answer, dead = bench.sent()
+    harness = ConsumerHarness(dead_letter="dead")
+    tag = harness.deliver(**{"timeout-ms": "soon"})
+    assert harness.host.triggers == []
+    answer, dead = harness.sent()
     assert (answer.exchange, answer.routing_key) == ("", "r")
     assert (dead.exchange, dead.routing_key) == ("dead", "calls.t.lectura.f")
-    headers = [out.properties.headers for out in bench.consumer.unconfirmed.values()]
+    headers = [message.properties.headers for message in harness.consumer.unconfirmed.values()]
     assert headers[0]["reason"] == "malformed" and "timeout-ms" in headers[1]["x-swiftwell-reason"]
-    bench.give(codec.Ack(2, True), PUBLISH)
-    assert bench.sent() == [codec.Ack(tag)]
-    # No queue takes dead letters: the broker's own are asked for.
-    tag = bench.deliver(**{"timeout-ms": "soon"})
-    out = list(bench.consumer.unconfirmed.values())[-1]
-    bench.give(codec.Return(312, "NO_ROUTE", "dead", out.key), PUBLISH, out.properties)
-    bench.give(codec.Ack(4, True), PUBLISH)
-    assert codec.Reject(tag, False) in bench.sent()
-    plain = Bench()
+    harness.receive(codec.Ack(2, True), PUBLISH)
+    assert harness.sent() == [codec.Ack(tag)]
+    # If no queue takes dead letters, the message is rejected for the broker's own dead-lettering.
+    tag = harness.deliver(**{"timeout-ms": "soon"})
+    message = list(harness.consumer.unconfirmed.values())[-1]
+    harness.receive(codec.Return(312, "NO_ROUTE", "dead", message.key), PUBLISH, message.properties)
+    harness.receive(codec.Ack(4, True), PUBLISH)
+    assert codec.Reject(tag, False) in harness.sent()
+    plain = ConsumerHarness()
     tag = plain.deliver(**{"timeout-ms": "soon"})
     assert codec.Reject(tag, False) in plain.sent()
 
 
 def test_claimed_triggers_count_against_the_limit_though_the_broker_forgets_them():
-    bench = Bench(min_prefetch=3, max_prefetch=3)
+    harness = ConsumerHarness(min_prefetch=3, max_prefetch=3)
     for _ in range(3):
-        bench.deliver("consigna")
-        bench.give(codec.QosOk())
-    assert bench.consumer.acked_before_run == 3 and bench.sent()[-1].prefetch_count == 1
-    bench.deliver("consigna")
+        harness.deliver("consigna")
+        harness.receive(codec.QosOk())
+    assert harness.consumer.acked_before_run == 3 and harness.sent()[-1].prefetch_count == 1
+    harness.deliver("consigna")
     assert (
-        bench.consumer.acked_before_run == 3 and len(bench.consumer.deferred) == 1
-    )  # neither claimed nor run
-    bench.reply(0)
-    assert len(bench.consumer.deferred) == 0 and bench.consumer.acked_before_run == 3
-    assert "Ack" in kinds(bench.sent())
+        harness.consumer.acked_before_run == 3 and len(harness.consumer.deferred) == 1
+    )  # neither acked nor run
+    harness.reply(0)
+    assert len(harness.consumer.deferred) == 0 and harness.consumer.acked_before_run == 3
+    assert "Ack" in kinds(harness.sent())
 
 
 def test_a_channel_error_opens_it_again_and_forgets_its_tags():
-    bench = Bench()
-    bench.deliver(key="k", corr="c")
-    del bench.session.channels[CONSUME]
-    bench.consumer.on_event(ChannelEnded(CONSUME, 406, "why"))
-    assert not bench.consumer.up and "channel-closed" in bench.host.lines
-    bench.reply()
-    bench.give(codec.Ack(1), PUBLISH)
-    assert "Ack" not in kinds(bench.sent())  # the tag meant something on the old channel only
-    bench.now += 2
-    bench.consumer.tick(0)
-    assert kinds(bench.sent()) == ["ChannelOpen"]
+    harness = ConsumerHarness()
+    harness.deliver(key="k", correlation="c")
+    del harness.session.channels[CONSUME]
+    harness.consumer.on_event(ChannelEnded(CONSUME, 406, "why"))
+    assert not harness.consumer.up and "channel-closed" in harness.host.lines
+    harness.reply()
+    harness.receive(codec.Ack(1), PUBLISH)
+    assert "Ack" not in kinds(harness.sent())  # its delivery tag belongs to the closed channel
+    harness.now += 2
+    harness.consumer.tick(0)
+    assert kinds(harness.sent()) == ["ChannelOpen"]
 
 
 def test_no_tag_is_ever_acknowledged_twice():
-    bench = Bench()
-    tag = bench.deliver()
-    bench.reply()
-    bench.give(codec.Ack(1), PUBLISH)
-    bench.give(codec.Ack(1), PUBLISH)
-    bench.give(codec.Ack(9, True), PUBLISH)
-    assert [one for one in bench.sent() if isinstance(one, codec.Ack)] == [codec.Ack(tag)]
+    harness = ConsumerHarness()
+    tag = harness.deliver()
+    harness.reply()
+    harness.receive(codec.Ack(1), PUBLISH)
+    harness.receive(codec.Ack(1), PUBLISH)
+    harness.receive(codec.Ack(9, True), PUBLISH)
+    assert [method for method in harness.sent() if isinstance(method, codec.Ack)] == [codec.Ack(tag)]
 
 
 def test_answered_triggers_are_remembered_up_to_a_bound(monkeypatch):
     from swiftwell.fronts.amqp import consumer
 
     monkeypatch.setattr(consumer, "MAX_KNOWN_TRIGGERS", 50)
-    bench = Bench()
+    harness = ConsumerHarness()
     for number in range(200):
-        bench.deliver()
-        bench.reply()
-        bench.give(codec.Ack(number + 1), PUBLISH)
-    assert len(bench.consumer.known_triggers) <= 51 and bench.consumer.open_triggers == 0
+        harness.deliver()
+        harness.reply()
+        harness.receive(codec.Ack(number + 1), PUBLISH)
+    assert len(harness.consumer.known_triggers) <= 51 and harness.consumer.open_triggers == 0
