--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The MQTT endpoint on real sockets: hard cases of publishers, good and bad ones."""
+"""The MQTT endpoint over real sockets, with well-behaved and misbehaving publishers."""
 
 import asyncio
 import io
@@ -51,9 +51,14 @@
             console = await Console().connect(gw.listener_port)
             kind, reason = await console.call("consigna", "k", timeout=left)
             assert kind == "refused" and not calls
-            assert reason in ("no-time-left", "not-run", "ledger-unavailable")  # or the disk took longer
+            assert reason in (
+                "no-time-left",
+                "not-run",
+                "ledger-unavailable",
+            )  # depending on the speed of the disk
             await asyncio.sleep(0.05)
-            if reason == "no-time-left":  # with time for its intent it was taken first, and acknowledged so
+            # In the other cases it was accepted first and acknowledged with its intent.
+            if reason == "no-time-left":
                 assert console.acks[-1][1] >= 0x80
 
     run(main())
@@ -70,13 +75,13 @@
 
         async with raw_worker(keep) as worker, gateway(tmp_path, [worker]) as gw:
             console = await Console(session_s=60).connect(gw.listener_port)
-            corr = console.publish("consigna", "k", qos=2)
+            correlation = console.publish("consigna", "k", qos=2)
             await asyncio.sleep(0.05)
-            console.client.abort()  # whatever acknowledgement was under way is lost
+            console.client.abort()  # an acknowledgement under way is lost
             await asyncio.sleep(0.05)
             await console.connect(gw.listener_port)
-            assert await console.answer(corr) == ("served", "ok")
-            assert await console.call("consigna", "k") == ("served", "ok")  # the publisher's own retry
+            assert await console.answer(correlation) == ("served", "ok")
+            assert await console.call("consigna", "k") == ("served", "ok")  # a retry by the publisher
             assert calls == [1]
 
     run(main())
@@ -131,12 +136,12 @@
     async def main():
         async with raw_worker(slow) as worker, gateway(tmp_path, [worker]) as gw:
             console = await Console(session_s=60).connect(gw.listener_port)
-            corr = console.publish("lectura")
+            correlation = console.publish("lectura")
             await asyncio.sleep(0.1)
             console.client.abort()
             await asyncio.sleep(0.6)
             await console.connect(gw.listener_port)
-            assert await console.answer(corr) == ("served", "ok")
+            assert await console.answer(correlation) == ("served", "ok")
 
     run(main())
 
@@ -184,8 +189,8 @@
     run(main())
 
 
-async def talk(port, *packets, version=V5):
-    """Send bytes or packets; what comes back until the other side closes."""
+async def exchange(port, *packets, version=V5):
+    """Send bytes or packets; returns the packets received until the server closes the connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for packet in packets:
         writer.write(packet if isinstance(packet, bytes) else encode(packet, version))
@@ -208,7 +213,7 @@
 def test_a_protocol_error_ends_that_connection_with_its_reason(tmp_path, raw, reason):
     async def main():
         async with gateway(tmp_path) as gw:
-            got = await talk(gw.listener_port, Connect("c"), raw)
+            got = await exchange(gw.listener_port, Connect("c"), raw)
             assert isinstance(got[-1], Disconnect) and got[-1].reason == reason
 
     run(main())
@@ -218,9 +223,9 @@
     async def main():
         listener = '{ user "console" password="right" }'
         async with gateway(tmp_path, listener=listener) as gw:
-            got = await talk(gw.listener_port, Connect("c", username="console", password=b"wrong"))
+            got = await exchange(gw.listener_port, Connect("c", username="console", password=b"wrong"))
             assert got[0].reason == Reason.BAD_CREDENTIALS
-            got = await talk(gw.listener_port, Connect("", clean=False, version=V311), version=V311)
+            got = await exchange(gw.listener_port, Connect("", clean=False, version=V311), version=V311)
             assert got[0].reason == 2
             with pytest.raises(Refused):
                 await Console(username="x", password="y").connect(gw.listener_port)
@@ -231,15 +236,15 @@
 
 def test_a_flood_of_malformed_packets_leaves_normal_traffic_alone(tmp_path):
     async def main():
-        chance = random.Random(1)
+        rng = random.Random(1)
         async with raw_worker(serving) as worker, gateway(tmp_path, [worker]) as gw:
             console = await Console().connect(gw.listener_port)
 
             async def flood():
                 for _ in range(150):
-                    first = encode(Connect(f"bad{chance.random()}"), V5) if chance.random() < 0.5 else b""
+                    first = encode(Connect(f"bad{rng.random()}"), V5) if rng.random() < 0.5 else b""
                     reader, writer = await asyncio.open_connection("127.0.0.1", gw.listener_port)
-                    writer.write(first + chance.randbytes(40))
+                    writer.write(first + rng.randbytes(40))
                     writer.write_eof()
                     await reader.read()
                     writer.close()
@@ -294,7 +299,7 @@
 def test_a_silent_client_is_closed_after_one_and_a_half_keep_alives(tmp_path):
     async def main():
         async with gateway(tmp_path) as gw:
-            got = await talk(gw.listener_port, Connect("c", keep_alive=1))
+            got = await exchange(gw.listener_port, Connect("c", keep_alive=1))
             assert got[-1].reason == Reason.KEEP_ALIVE
 
     run(main())
@@ -304,8 +309,8 @@
     async def main():
         async with raw_worker(slow) as worker, gateway(tmp_path, [worker], listener="{ open-calls 3 }") as gw:
             console = await Console().connect(gw.listener_port)
-            corrs = [console.publish(qos=0) for _ in range(6)]
-            got = [await console.answer(corr) for corr in corrs]
+            correlations = [console.publish(qos=0) for _ in range(6)]
+            got = [await console.answer(correlation) for correlation in correlations]
             assert got.count(("refused", "too-many-calls")) == 3
 
     run(main())
@@ -323,7 +328,7 @@
     run(main())
 
 
-# Independent peers, in processes of their own.
+# An independent MQTT library, in processes of its own.
 
 PAHO = """
 import json, sys, threading
@@ -400,9 +405,8 @@
                 for (version, qos), got in zip(
                     [(v, q) for v in (5, 4) for q in (0, 1, 2)], results, strict=True
                 ):
-                    # Each trigger has one answer.  A busy machine may have some refused, none may be failed;
-                    # unsafe ones over a shared subscription at QoS 1 are refused always, as docs/mqtt.md
-                    # says.
+                    # Each trigger has one answer.  On a busy machine some may be refused, but none may fail.
+                    # Unsafe ones over a shared subscription at QoS 1 are always refused (docs/mqtt.md).
                     assert [g[0] for g in got] == [str(n) for n in range(20)], (version, qos)
                     kinds = [g[1] for g in got]
                     assert set(kinds) <= {"served", "refused"} and kinds.count("served") >= 5
@@ -424,10 +428,10 @@
                 console = await Console(session_s=60).connect(port)
                 await console.client.subscribe("answers/c")
                 broker.fault("stall", 0.5)
-                corr = console.publish("consigna", "k1", qos=2)
+                correlation = console.publish("consigna", "k1", qos=2)
                 direct = await Console("direct").connect(gw.listener_port)
-                assert await direct.call() == ("served", "ok")  # the other front does not wait
-                assert await console.answer(corr) == ("served", "ok")
+                assert await direct.call() == ("served", "ok")  # the other front is not delayed
+                assert await console.answer(correlation) == ("served", "ok")
                 broker.fault("restart", 0.3)
                 await asyncio.sleep(0.6)
                 await console.connect(port)
@@ -445,20 +449,20 @@
     async def main():
         async with raw_worker(serving) as worker, gateway(tmp_path, [worker]) as gw:
             console = Console("early")
-            greeting = asyncio.ensure_future(console.connect(gw.listener_port))
+            connecting = asyncio.ensure_future(console.connect(gw.listener_port))
             while console.client.connection is None:
                 await asyncio.sleep(0)
-            corr = console.publish()
-            await greeting
-            assert await console.answer(corr) == ("served", "ok")
+            correlation = console.publish()
+            await connecting
+            assert await console.answer(correlation) == ("served", "ok")
             await asyncio.sleep(0.1)
-            assert gw.engine.counts["calls"] == 1 and len(console.answers[corr]) == 1
+            assert gw.engine.counts["calls"] == 1 and len(console.answers[correlation]) == 1
 
     run(main())
 
 
 def test_ready_is_told_only_while_a_worker_is_known(tmp_path):
-    """A balancer of clients that asked /healthz sent them to a gateway that could serve nobody yet."""
+    """Guards against a load balancer, probing /healthz, that sends clients to a gateway without a worker."""
 
     async def main():
         file = f'file "{tmp_path / "list.kdl"}"'
@@ -483,13 +487,15 @@
 
 
 def test_lines_below_the_level_are_not_counted_as_left_out(monkeypatch):
-    """A debug line said often made a warning that lines were left out, which nobody had asked for."""
-    out = io.StringIO()
-    logs = Logs("json", "info", 2, out)
+    """Guards against a warning about omitted lines when only lines below the log level were repeated."""
+    output = io.StringIO()
+    logs = Logs("json", "info", 2, output)
     for _ in range(5):
         logs.write("debug", "quiet")
         logs.write("info", "loud")
     monkeypatch.setattr(logs, "_since", logs._since - 60)
     logs.sweep()
-    said = [json.loads(line) for line in out.getvalue().splitlines()]
-    assert [one["event"] for one in said] == ["loud", "loud", "lines-left-out"] and said[-1]["kind"] == "loud"
+    lines = [json.loads(line) for line in output.getvalue().splitlines()]
+    assert [line["event"] for line in lines] == ["loud", "loud", "lines-left-out"] and lines[-1][
+        "kind"
+    ] == "loud"
--- a/tests/test_mqtt_codec.py
+++ b/tests/test_mqtt_codec.py
@@ -1,4 +1,4 @@
-"""The codec: what is written is read back, in whatever pieces; bytes raise nothing but the protocol error."""
+"""The MQTT codec: round trips, split input, and invalid input, which may raise ProtocolError only."""
 
 import pytest
 from hypothesis import given
@@ -48,13 +48,15 @@
 @st.composite
 def packets(draw, version):
     v5 = version == V5
-    none = st.just({})
+    no_properties = st.just({})
     kind = draw(st.sampled_from(list(Type)))
-    some = lambda strategy: draw(strategy if v5 else none)  # noqa: E731
+    if_v5 = lambda strategy: draw(strategy if v5 else no_properties)  # noqa: E731
     if kind is Type.CONNECT:
         will = None
         if draw(st.booleans()):
-            will = Will(draw(TOPIC), draw(BYTES), draw(st.integers(0, 2)), draw(st.booleans()), some(MESSAGE))
+            will = Will(
+                draw(TOPIC), draw(BYTES), draw(st.integers(0, 2)), draw(st.booleans()), if_v5(MESSAGE)
+            )
         user = draw(st.none() | TEXT)
         password = draw(st.none() | BYTES) if v5 or user is not None else None
         more = properties(session_expiry=st.integers(0, 2**32 - 1), receive_maximum=st.integers(1, 65_535))
@@ -66,32 +68,32 @@
             password,
             will,
             version,
-            some(more),
+            if_v5(more),
         )
     if kind is Type.CONNACK:
         more = properties(assigned_client_id=TEXT, server_keep_alive=st.integers(0, 65_535))
-        return Connack(draw(st.booleans()), draw(st.integers(0, 255)), some(more))
+        return Connack(draw(st.booleans()), draw(st.integers(0, 255)), if_v5(more))
     if kind is Type.PUBLISH:
         qos = draw(st.integers(0, 2))
         return Publish(
             draw(TOPIC), draw(BYTES), qos, draw(st.booleans()), draw(st.booleans()) if qos else False,
-            draw(IDS) if qos else 0, some(MESSAGE),
+            draw(IDS) if qos else 0, if_v5(MESSAGE),
         )  # fmt: skip
     if kind in (Type.PUBACK, Type.PUBREC, Type.PUBREL, Type.PUBCOMP):
-        return Ack(kind, draw(IDS), draw(st.integers(0, 255)) if v5 else 0, some(REASONED))
+        return Ack(kind, draw(IDS), draw(st.integers(0, 255)) if v5 else 0, if_v5(REASONED))
     if kind is Type.SUBSCRIBE:
         options = st.sampled_from([0, 1, 2, 0x2E] if v5 else [0, 1, 2])
-        return Subscribe(draw(IDS), draw(st.lists(st.tuples(TEXT, options), min_size=1, max_size=3)), some(
+        return Subscribe(draw(IDS), draw(st.lists(st.tuples(TEXT, options), min_size=1, max_size=3)), if_v5(
             properties(subscription_id=st.integers(1, 268_435_455))))  # fmt: skip
     if kind is Type.UNSUBSCRIBE:
-        return Unsubscribe(draw(IDS), draw(st.lists(TEXT, min_size=1, max_size=3)), some(properties()))
+        return Unsubscribe(draw(IDS), draw(st.lists(TEXT, min_size=1, max_size=3)), if_v5(properties()))
     if kind is Type.SUBACK or (kind is Type.UNSUBACK and v5):
-        return Suback(kind, draw(IDS), draw(st.lists(st.integers(0, 255), max_size=3)), some(REASONED))
+        return Suback(kind, draw(IDS), draw(st.lists(st.integers(0, 255), max_size=3)), if_v5(REASONED))
     if kind in (Type.PINGREQ, Type.PINGRESP):
         return Ping(kind)
     if kind is Type.AUTH and v5:
         return Auth(draw(st.integers(0, 255)), draw(properties(auth_method=TEXT, auth_data=BYTES)))
-    return Disconnect(draw(st.integers(0, 255)) if v5 else 0, some(REASONED))
+    return Disconnect(draw(st.integers(0, 255)) if v5 else 0, if_v5(REASONED))
 
 
 def decoder(packet, version):
@@ -111,12 +113,12 @@
     sent = [p for p in data.draw(st.lists(packets(version), max_size=6)) if not isinstance(p, Connect)]
     stream = b"".join(encode(p, version) for p in sent)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
-    one, got = Decoder(version), []
+    chunked, received = Decoder(version), []
     for start, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
-        got += one.feed(stream[start:end])
-    assert got == sent and one.pending == 0
-    single = Decoder(version)
-    assert [p for byte in stream for p in single.feed(bytes((byte,)))] == sent
+        received += chunked.feed(stream[start:end])
+    assert received == sent and chunked.pending == 0
+    bytewise = Decoder(version)
+    assert [p for byte in stream for p in bytewise.feed(bytes((byte,)))] == sent
 
 
 @pytest.mark.parametrize("version", [0, V5, V311])
@@ -144,21 +146,30 @@
 @pytest.mark.parametrize(
     ("raw", "reason"),
     [
-        (b"\x30\xff\xff\xff\x7f", Reason.TOO_LARGE),  # announced length, no byte of it taken
+        (
+            b"\x30\xff\xff\xff\x7f",
+            Reason.TOO_LARGE,
+        ),  # rejected by its announced length, before its payload arrives
         (b"\x30\xff\xff\xff\xff\x01", Reason.MALFORMED),
-        (b"\x30\x80\x00", Reason.MALFORMED),  # a length in a longer form than needed
+        (b"\x30\x80\x00", Reason.MALFORMED),  # a length not in its shortest form
         (b"\x36\x03\x00\x01a", Reason.MALFORMED),  # QoS 3
         (b"\x32\x05\x00\x01a\x00\x00", Reason.PROTOCOL_ERROR),  # identifier 0
-        (b"\x38\x04\x00\x01a\x00", Reason.MALFORMED),  # duplicate of QoS 0
+        (b"\x38\x04\x00\x01a\x00", Reason.MALFORMED),  # DUP with QoS 0
         (b"\x30\x04\x00\x01+\x00", Reason.TOPIC_INVALID),
         (b"\x30\x05\x00\x02\xc3\x28\x00", Reason.MALFORMED),  # not UTF-8
         (b"\x30\x04\x00\x01\x00\x00", Reason.MALFORMED),  # a null character
         (b"\x30\x06\x00\x01a\x02\x01\x02", Reason.PROTOCOL_ERROR),  # payload format 2
-        (b"\x30\x09\x00\x01a\x05\x21\x00\x01\x01\x00", Reason.PROTOCOL_ERROR),  # a property of another packet
-        (b"\x30\x0e\x00\x01a\x0a\x02\x00\x00\x00\x01\x02\x00\x00\x00\x01", Reason.PROTOCOL_ERROR),  # twice
-        (b"\x30\x05\x00\x01a\x01\x7f", Reason.MALFORMED),  # no such property
+        (
+            b"\x30\x09\x00\x01a\x05\x21\x00\x01\x01\x00",
+            Reason.PROTOCOL_ERROR,
+        ),  # a property of another packet type
+        (
+            b"\x30\x0e\x00\x01a\x0a\x02\x00\x00\x00\x01\x02\x00\x00\x00\x01",
+            Reason.PROTOCOL_ERROR,
+        ),  # a property twice
+        (b"\x30\x05\x00\x01a\x01\x7f", Reason.MALFORMED),  # unknown property
         (b"\x62\x02\x00\x01", Reason.OK),
-        (b"\x60\x02\x00\x01", Reason.MALFORMED),  # flags of PUBREL
+        (b"\x60\x02\x00\x01", Reason.MALFORMED),  # wrong flags of a PUBREL
         (b"\x82\x03\x00\x01\x00", Reason.PROTOCOL_ERROR),  # no filter
         (b"\x00\x00", Reason.MALFORMED),
         (b"\xc0\x01\x00", Reason.MALFORMED),
--- a/tests/test_mqtt_session.py
+++ b/tests/test_mqtt_session.py
@@ -1,4 +1,4 @@
-"""Sessions: windows, identifiers, what is sent again; the contract with publishers; clocks."""
+"""MQTT sessions (windows, identifiers, repeated sending), the contract with publishers, and clock skew."""
 
 import msgspec
 import pytest
@@ -23,37 +23,39 @@
 
 def test_qos_two_goes_through_both_halves_and_resumes_where_it_was():
     box = Outbox()
-    one = box.enqueue(Publish("a", b"1", 2))[1][0]
-    two = box.enqueue(Publish("a", b"2", 2))[1][0]
-    assert box.on_ack(Ack(Type.PUBREC, one.id)) == [Ack(Type.PUBREL, one.id)]
-    again = box.resume()
-    assert again[0] == Ack(Type.PUBREL, one.id) and again[1].dup and again[1].id == two.id
-    assert box.on_ack(Ack(Type.PUBCOMP, one.id)) == [] and len(box) == 1
+    first = box.enqueue(Publish("a", b"1", 2))[1][0]
+    second = box.enqueue(Publish("a", b"2", 2))[1][0]
+    assert box.on_ack(Ack(Type.PUBREC, first.id)) == [Ack(Type.PUBREL, first.id)]
+    redelivered = box.resume()
+    assert (
+        redelivered[0] == Ack(Type.PUBREL, first.id) and redelivered[1].dup and redelivered[1].id == second.id
+    )
+    assert box.on_ack(Ack(Type.PUBCOMP, first.id)) == [] and len(box) == 1
     assert box.on_ack(Ack(Type.PUBCOMP, 999)) == []
     with pytest.raises(ProtocolError):
-        box.on_ack(Ack(Type.PUBACK, two.id))
+        box.on_ack(Ack(Type.PUBACK, second.id))
 
 
 def test_a_lost_session_is_sent_anew_in_the_first_order():
     box = Outbox(window=2)
     for number in range(4):
         box.enqueue(Publish("a", bytes((number,)), 1))
-    fresh = box.reset()
-    assert [(m.payload, m.dup) for m in fresh] == [(b"\0", False), (b"\1", False)] and len(box) == 4
+    resent = box.reset()
+    assert [(m.payload, m.dup) for m in resent] == [(b"\0", False), (b"\1", False)] and len(box) == 4
 
 
 @given(st.lists(st.integers(0, 2), max_size=40), st.integers(1, 5))
 def test_identifiers_in_flight_are_never_shared(plan, window):
-    box, flight = Outbox(window, 1_000), []
+    box, in_flight = Outbox(window, 1_000), []
     for qos in plan:
-        flight += [m for m in box.enqueue(Publish("a", b"", qos))[1] if m.qos]
-        assert len({m.id for m in flight}) == len(flight) <= window
-        if len(flight) == window:
-            done = flight.pop(0)
+        in_flight += [m for m in box.enqueue(Publish("a", b"", qos))[1] if m.qos]
+        assert len({m.id for m in in_flight}) == len(in_flight) <= window
+        if len(in_flight) == window:
+            done = in_flight.pop(0)
             if done.qos == 2:
                 box.on_ack(Ack(Type.PUBREC, done.id))
             follow = box.on_ack(Ack(Type.PUBCOMP if done.qos == 2 else Type.PUBACK, done.id))
-            flight += [m for m in follow if isinstance(m, Publish)]
+            in_flight += [m for m in follow if isinstance(m, Publish)]
 
 
 def test_a_message_is_taken_once_and_acknowledged_when_its_taker_says_so():
@@ -84,9 +86,9 @@
 
 def read(message, version=V5, direct=True, alone=True, now=1_000_000.0, client="c"):
     deadlines = {"lectura": 2_500.0, "consigna": 2_500.0}
-    one = Contract("calls", deadlines, lambda name: FunctionHint(400.0, 2, 0, 700_000), direct, alone)
-    ref = one.ref(message, version, None, client)
-    return one.read(message, "m:c", ref, now), ref
+    contract_ = Contract("calls", deadlines, lambda name: FunctionHint(400.0, 2, 0, 700_000), direct, alone)
+    ref = contract_.ref(message, version, None, client)
+    return contract_.read(message, "m:c", ref, now), ref
 
 
 def message(user=(), topic="calls/estate/lectura/heat/a", **more):
@@ -99,9 +101,9 @@
     assert (trigger.tenant, trigger.request_class, trigger.function) == ("estate", "lectura", "heat/a")
     assert (trigger.key, trigger.left_us, trigger.redelivered, trigger.lanes) == ("k1", 800_000, True, 4)
     assert trigger.memory_mb == 400.0 and trigger.load_us == 700_000 and trigger.payload == b"in"
-    back = contract.answer(ref, Answer(Kind.REFUSED, "not-run", wait_us=1_500))
-    assert back.topic == "answers/c" and back.properties["correlation_data"] == b"\1"
-    assert dict(back.properties["user"])["wait-ms"] == "2" and back.qos == 1
+    reply = contract.answer(ref, Answer(Kind.REFUSED, "not-run", wait_us=1_500))
+    assert reply.topic == "answers/c" and reply.properties["correlation_data"] == b"\1"
+    assert dict(reply.properties["user"])["wait-ms"] == "2" and reply.qos == 1
 
 
 def test_an_envelope_of_three_becomes_a_trigger_and_its_answer_an_envelope():
@@ -109,8 +111,10 @@
     raw = Publish("calls/estate/consigna/valve", msgspec.json.encode(body), 1, id=1)
     trigger, ref = read(raw, V311)
     assert trigger.payload == b'{"t":60}' and trigger.key == "k" and trigger.left_us == 900_000
-    told = msgspec.json.decode(contract.answer(ref, Answer(Kind.SERVED, "ok", b"done", worker="w")).payload)
-    assert told["correlation"] == "7" and told["body"] == "done" and told["status"] == "served"
+    envelope = msgspec.json.decode(
+        contract.answer(ref, Answer(Kind.SERVED, "ok", b"done", worker="w")).payload
+    )
+    assert envelope["correlation"] == "7" and envelope["body"] == "done" and envelope["status"] == "served"
 
 
 @pytest.mark.parametrize(
@@ -140,19 +144,18 @@
 
 
 def test_what_may_have_been_given_to_another_gateway():
-    tried = message([("attempt", "1")])
-    assert not read(tried)[0].maybe_seen_elsewhere  # it is the only gateway
-    assert read(tried, alone=False)[0].maybe_seen_elsewhere
+    retried = message([("attempt", "1")])
+    assert not read(retried)[0].maybe_seen_elsewhere  # the only gateway
+    assert read(retried, alone=False)[0].maybe_seen_elsewhere
     assert not read(message([("attempt", "1"), ("unanswered", "0")]), alone=False)[0].maybe_seen_elsewhere
-    again = message()
-    again.dup = True
-    assert read(again, alone=False)[0].maybe_seen_elsewhere
-    assert not read(again, alone=False, direct=False)[
-        0
-    ].maybe_seen_elsewhere  # the broker's session is this gateway's own
+    redelivered = message()
+    redelivered.dup = True
+    assert read(redelivered, alone=False)[0].maybe_seen_elsewhere
+    # Through a broker, DUP refers to a session that belongs to this gateway alone.
+    assert not read(redelivered, alone=False, direct=False)[0].maybe_seen_elsewhere
 
 
-# Clocks.
+# Clock skew.
 
 AT = 1_700_000_000_000.0
 
@@ -163,8 +166,8 @@
 
 def test_time_on_the_way_is_taken_off_and_skew_is_not():
     skew = ClockSkew()
-    assert left(skew, AT + 700, AT) == 1_000  # its clock is ahead
-    assert left(skew, AT + 1_700, AT + 1_400) == 600  # 400 ms under way
+    assert left(skew, AT + 700, AT) == 1_000  # the clock of the publisher is ahead
+    assert left(skew, AT + 1_700, AT + 1_400) == 600  # 400 ms in transit
 
 
 def test_a_message_that_waited_at_a_broker_is_known_to_be_old_at_once():
@@ -184,15 +187,15 @@
 def test_a_publishers_clock_set_back_is_believed_through_a_broker_after_three_that_agree():
     skew = ClockSkew()
     left(skew, AT, AT, direct=False)
-    seen = [left(skew, AT - 3_600_000 + n, AT + n, direct=False) for n in range(1, 6)]
-    assert seen == [0, 0, 1_000, 1_000, 1_000]
-    assert left(skew, AT + 10, AT + 10, direct=False) == 1_000  # and forward at once
+    left_ms = [left(skew, AT - 3_600_000 + n, AT + n, direct=False) for n in range(1, 6)]
+    assert left_ms == [0, 0, 1_000, 1_000, 1_000]
+    assert left(skew, AT + 10, AT + 10, direct=False) == 1_000  # a clock set forward is accepted at once
 
 
 def test_the_shortest_of_all_that_is_told_counts():
     skew = ClockSkew()
-    told = TimeFields(2_000.0, AT + 900, AT, 700.0)
-    assert left_us(told, 2_500.0, "p", AT, True, skew) == 700_000
+    time_fields = TimeFields(2_000.0, AT + 900, AT, 700.0)
+    assert left_us(time_fields, 2_500.0, "p", AT, True, skew) == 700_000
     assert left_us(TimeFields(), 2_500.0, "p", AT, True, skew) == 2_500_000
     assert left_us(TimeFields(99_000.0), 2_500.0, "p", AT, True, skew) == 2_500_000
     assert left_us(TimeFields(deadline_ms=AT + 300), 2_500.0, "p", AT, True, skew) == 300_000
