--- a/swiftwell/fronts/amqp/consumer.py
+++ b/swiftwell/fronts/amqp/consumer.py
@@ -374,7 +374,7 @@
             self._reject(event, ref, str(error))
             return
         if deliver.redelivered and (earlier := self.known_triggers.get(message_identity(ref))):
-            self._join_open_trigger(ref, earlier)
+            self._join_known_trigger(ref, earlier)
             return
         if self.blocked and len(self.outbox) >= self.link.max_answers:
             self._requeue(ref)  # there is no room to keep its answer
@@ -400,7 +400,7 @@
         self.acked_before_run += 1
         self._current_batch.append(PendingAck(trigger, now))
 
-    def _join_open_trigger(self, ref: Ref, earlier: Ref) -> None:
+    def _join_known_trigger(self, ref: Ref, earlier: Ref) -> None:
         """Handle a redelivery of a trigger known from an earlier connection: one answer serves both."""
         self.counts.duplicates += 1
         if earlier.acked:
--- a/swiftwell/fronts/amqp/contract.py
+++ b/swiftwell/fronts/amqp/contract.py
@@ -115,15 +115,15 @@
             numbers["sent-ms"] = properties.timestamp * 1_000.0 + 1_000.0
         ref.key = _text(headers.get("key")) or properties.message_id or ""
         expiry = _expiry(properties.expiration)
-        sent, publisher = numbers.get("sent-ms"), f"{tenant} {ref.reply}"
-        if sent is not None and "timeout-ms" not in numbers and expiry is not None:
+        sent_ms, publisher = numbers.get("sent-ms"), f"{tenant} {ref.reply}"
+        if sent_ms is not None and "timeout-ms" not in numbers and expiry is not None:
             # A broker does not count the expiration down: it is the publisher's time-out since the sending.
             numbers["timeout-ms"], expiry = expiry, None
         message = Message(
             tenant, request_class, function, ref.key, body, numbers, publisher, expiry, deliver.redelivered,
             fresh=fresh,
         )  # fmt: skip
-        age_ms = None if sent is None else max(0.0, now_ms - sent)
+        age_ms = None if sent_ms is None else max(0.0, now_ms - sent_ms)
         return self.reader.trigger(message, source, ref, now_ms), age_ms
 
 
--- a/swiftwell/fronts/amqp/wire.py
+++ b/swiftwell/fronts/amqp/wire.py
@@ -125,12 +125,12 @@
     assert content.header
     size = content.header.size
     empty = encode_content(channel, content.method, content.header.properties, b"", 1 << 20)
-    first = 8 + int.from_bytes(empty[3:7], "big")
-    # The body size is at offset 4 of the header frame's payload.
+    header_at = 8 + int.from_bytes(empty[3:7], "big")
+    # The body size is at offset 4 of the header frame's payload, 11 bytes into the frame.
     head = bytearray(empty)
-    head[first + 11 : first + 19] = size.to_bytes(8, "big")
+    head[header_at + 11 : header_at + 19] = size.to_bytes(8, "big")
     result = bytes(head)
-    for at in range(0, len(body), 4_000):
-        part = body[at : at + 4_000]
-        result += b"\x03" + channel.to_bytes(2, "big") + len(part).to_bytes(4, "big") + part + b"\xce"
+    for offset in range(0, len(body), 4_000):
+        chunk = body[offset : offset + 4_000]
+        result += b"\x03" + channel.to_bytes(2, "big") + len(chunk).to_bytes(4, "big") + chunk + b"\xce"
     return result
