--- a/swiftwell/fronts/amqp/link.py
+++ b/swiftwell/fronts/amqp/link.py
@@ -37,7 +37,7 @@
 
     async def run(self) -> None:
         """Connect and serve, and reconnect with back-off, until `close`."""
-        ticking = asyncio.ensure_future(self._tick_forever())
+        tick_task = asyncio.ensure_future(self._tick_forever())
         address_number = 0
         try:
             while not self._closing:
@@ -55,7 +55,7 @@
                 )  # fmt: skip
                 await asyncio.sleep(delay_s)
         finally:
-            ticking.cancel()
+            tick_task.cancel()
 
     def adopt(self, stream: IOStream) -> None:
         """Continue a connection of the previous process; called before `run`."""
--- a/swiftwell/fronts/mqtt/codec.py
+++ b/swiftwell/fronts/mqtt/codec.py
@@ -262,11 +262,11 @@
         return self.data[start : self.position]
 
     def two(self) -> int:
-        at = self.position
-        if at + 2 > self.end:
+        start = self.position
+        if start + 2 > self.end:
             raise _malformed("a length goes beyond the packet")
-        self.position = at + 2
-        return self.data[at] << 8 | self.data[at + 1]
+        self.position = start + 2
+        return self.data[start] << 8 | self.data[start + 1]
 
     def four(self) -> int:
         return int.from_bytes(self.take(4), "big")
--- a/swiftwell/fronts/mqtt/connection.py
+++ b/swiftwell/fronts/mqtt/connection.py
@@ -44,6 +44,7 @@
 
     @property
     def version(self) -> int:
+        """The protocol level; 0 on a server until it has received the CONNECT."""
         return self.decoder.version
 
     async def run(self, on_packet: Callable[[Packet], None]) -> None:
--- a/swiftwell/fronts/mqtt/endpoint.py
+++ b/swiftwell/fronts/mqtt/endpoint.py
@@ -116,6 +116,7 @@
 
     @property
     def connections(self) -> int:
+        """Number of open connections."""
         return len(self._connections)
 
     async def serve(self, stream: IOStream) -> None:
@@ -320,6 +321,8 @@
 
 
 class _Server(TCPServer):
+    """Passes accepted connections to the endpoint."""
+
     def __init__(self, endpoint: Endpoint) -> None:
         super().__init__()
         self._endpoint = endpoint
--- a/swiftwell/fronts/mqtt/peer.py
+++ b/swiftwell/fronts/mqtt/peer.py
@@ -180,7 +180,9 @@
     """Implements the `Front` protocol for both MQTT roles: passes answers to the peer in `trigger.ref`."""
 
     def accepted(self, trigger: Trigger) -> None:
+        """Pass on that a trigger has been accepted."""
         trigger.ref.connection[0].accepted(trigger)  # type: ignore[attr-defined]
 
     def replied(self, trigger: Trigger, answer: Answer) -> None:
+        """Pass on the final answer."""
         trigger.ref.connection[0].replied(trigger, answer)  # type: ignore[attr-defined]
