--- a/swiftwell/gateway/amqp.py
+++ b/swiftwell/gateway/amqp.py
@@ -11,7 +11,7 @@
 from swiftwell.fronts.amqp.consumer import Queue as AmqpQueue
 from swiftwell.fronts.amqp.contract import Contract as AmqpContract
 from swiftwell.fronts.amqp.link import Link as AmqpLink
-from swiftwell.fronts.amqp.redelivery import Redelivered
+from swiftwell.fronts.amqp.redelivery import RedeliveryPolicy
 from swiftwell.fronts.amqp.session import Login
 from swiftwell.fronts.host import Host
 from swiftwell.settings.site import AmqpBroker as AmqpSettings
@@ -47,6 +47,6 @@
     )  # fmt: skip
     return AmqpBroker(
         broker.name, tuple(map(host_port, broker.address)), login, queues, broker.prefetch_least,
-        broker.prefetch_most, Redelivered(broker.redelivered), broker.dead_letter, broker.unroutable,
+        broker.prefetch_most, RedeliveryPolicy(broker.redelivered), broker.dead_letter, broker.unroutable,
         broker.waiting_answers, broker.open_calls, broker.waiting_bytes,
     )  # fmt: skip
