--- a/swiftwell/settings/document.py
+++ b/swiftwell/settings/document.py
@@ -1,8 +1,7 @@
-"""A KDL document with the line of every node.
+"""Parses a KDL document and finds the line of each node.
 
-`ckdl` parses; it tells neither where a node stands nor where an error is, so a scanner of our own walks the
-text beside
-it and counts.  The scanner never decides what the document says.
+`ckdl` parses the document but reports no line, neither of a node nor of a syntax error.  A separate scanner
+walks the text in parallel and only counts lines: it never decides what the document means.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong with a document: where, what, and what was expected."""
+    """A fault in a document, with its place and what was expected."""
 
     file: str
     line: int
@@ -27,7 +26,7 @@
 
 
 class SettingsError(Exception):
-    """A document that can't be used; `problems` has all that was found."""
+    """A document that can't be used; `problems` lists all faults found."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -36,7 +35,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """A node with its place."""
+    """A KDL node with its line."""
 
     name: str
     args: list[Any]
@@ -47,113 +46,117 @@
 
 @dataclass(slots=True)
 class _Scan:
-    """What the scanner saw: lines of nodes, and per line whether something is left open at its end."""
+    """The scanner's result."""
 
-    nodes: list[int] = field(default_factory=list)
-    open_at: list[tuple[int, bool]] = field(default_factory=list)  # (braces, inside a string or comment)
-    unclosed: int = 0  # line of a string or comment without an end
+    node_lines: list[int] = field(default_factory=list)  # in document order
+    # for each line, at its end: (brace depth, inside a string or comment)
+    line_ends: list[tuple[int, bool]] = field(default_factory=list)
+    unclosed_line: int = 0  # where a string or comment without an end begins; 0 if none
 
 
 def _scan(text: str) -> _Scan:
-    seen = _Scan()
-    at, line, depth, end = 0, 1, 0, len(text)
-    start = True  # a node may begin here
-    skip: list[int] = []  # depths of children that a slashdash drops
-    slashed = ""  # a slashdash waits for what it drops
-    continued = False
-
-    def newline(inside: bool) -> None:
+    """Records where nodes begin and what is still open at the end of each line."""
+    result = _Scan()
+    position, line, depth, length = 0, 1, 0, len(text)
+    node_may_start = True
+    dropped_depths: list[int] = []  # brace depths of children blocks removed by a slashdash (/-)
+    # "node" or "part" (an argument, property or children block): what an open slashdash will remove;
+    # "dropped": the node being read is removed; "": no slashdash is open.
+    slashdash = ""
+    line_continued = False
+
+    def newline(inside_token: bool) -> None:
         nonlocal line
-        seen.open_at.append((depth, inside))
+        result.line_ends.append((depth, inside_token))
         line += 1
 
-    while at < end:
-        char = text[at]
-        if text.startswith("//", at):
-            while at < end and text[at] != "\n":
-                at += 1
+    while position < length:
+        char = text[position]
+        if text.startswith("//", position):
+            while position < length and text[position] != "\n":
+                position += 1
             continue
-        if text.startswith("/*", at):
-            began, nest, at = line, 1, at + 2
-            while at < end and nest:
-                if text.startswith("/*", at):
-                    nest, at = nest + 1, at + 2
-                elif text.startswith("*/", at):
-                    nest, at = nest - 1, at + 2
+        if text.startswith("/*", position):
+            opening_line, nesting, position = line, 1, position + 2
+            while position < length and nesting:
+                if text.startswith("/*", position):
+                    nesting, position = nesting + 1, position + 2
+                elif text.startswith("*/", position):
+                    nesting, position = nesting - 1, position + 2
                 else:
-                    if text[at] == "\n":
+                    if text[position] == "\n":
                         newline(True)
-                    at += 1
-            if nest:
-                seen.unclosed = began
+                    position += 1
+            if nesting:
+                result.unclosed_line = opening_line
             continue
-        if text.startswith("/-", at):
-            slashed = "node" if start else "part"
-            at += 2
+        if text.startswith("/-", position):
+            slashdash = "node" if node_may_start else "part"
+            position += 2
             continue
         if char == "\n":
-            if not continued:
-                start, slashed = True, "" if slashed == "part" else slashed
-            continued = False
+            if not line_continued:
+                node_may_start, slashdash = True, "" if slashdash == "part" else slashdash
+            line_continued = False
             newline(False)
-            at += 1
+            position += 1
         elif char == ";":
-            start, at = True, at + 1
-        elif char == "\\" and not start:
-            continued, at = True, at + 1
+            node_may_start, position = True, position + 1
+        elif char == "\\" and not node_may_start:
+            line_continued, position = True, position + 1
         elif char == "{":
             depth += 1
-            if slashed == "part" or (slashed == "dropped"):
-                skip.append(depth)
-            slashed, start, at = "", True, at + 1
+            if slashdash == "part" or (slashdash == "dropped"):
+                dropped_depths.append(depth)
+            slashdash, node_may_start, position = "", True, position + 1
         elif char == "}":
-            if skip and skip[-1] == depth:
-                skip.pop()
-            depth, start, at = depth - 1, True, at + 1
+            if dropped_depths and dropped_depths[-1] == depth:
+                dropped_depths.pop()
+            depth, node_may_start, position = depth - 1, True, position + 1
         elif char.isspace():
-            at += 1
+            position += 1
         else:
-            if start and char != "(":
-                if slashed == "node":
-                    slashed = "dropped"
+            if node_may_start and char != "(":
+                if slashdash == "node":
+                    slashdash = "dropped"
                 else:
-                    slashed = ""
-                    if not skip:
-                        seen.nodes.append(line)
-                start = False
-            elif slashed == "part":
-                slashed = ""
-            raw = 0
-            if char == "r" and text[at + 1 : at + 2] in ("#", '"'):
-                look = at + 1
-                while text[look : look + 1] == "#":
-                    look += 1
-                raw = look - at if text[look : look + 1] == '"' else 0
-            if raw:
-                close, began = '"' + "#" * (raw - 1), line
-                at += raw + 1
-                while at < end and not text.startswith(close, at):
-                    if text[at] == "\n":
+                    slashdash = ""
+                    if not dropped_depths:
+                        result.node_lines.append(line)
+                node_may_start = False
+            elif slashdash == "part":
+                slashdash = ""
+            prefix_length = 0
+            if char == "r" and text[position + 1 : position + 2] in ("#", '"'):
+                quote = position + 1
+                while text[quote : quote + 1] == "#":
+                    quote += 1
+                prefix_length = quote - position if text[quote : quote + 1] == '"' else 0
+            if prefix_length:
+                closing, opening_line = '"' + "#" * (prefix_length - 1), line
+                position += prefix_length + 1
+                while position < length and not text.startswith(closing, position):
+                    if text[position] == "\n":
                         newline(True)
-                    at += 1
-                if at >= end:
-                    seen.unclosed = began
-                at += len(close)
+                    position += 1
+                if position >= length:
+                    result.unclosed_line = opening_line
+                position += len(closing)
             elif char == '"':
-                began, at = line, at + 1
-                while at < end and text[at] != '"':
-                    if text[at] == "\n":
+                opening_line, position = line, position + 1
+                while position < length and text[position] != '"':
+                    if text[position] == "\n":
                         newline(True)
-                    at += 2 if text[at] == "\\" else 1
-                if at >= end:
-                    seen.unclosed = began
-                at += 1
+                    position += 2 if text[position] == "\\" else 1
+                if position >= length:
+                    result.unclosed_line = opening_line
+                position += 1
             else:
-                at += 1
-                while at < end and not text[at].isspace() and text[at] not in '{};="\\/':
-                    at += 1
-    seen.open_at.append((depth, False))
-    return seen
+                position += 1
+                while position < length and not text[position].isspace() and text[position] not in '{};="\\/':
+                    position += 1
+    result.line_ends.append((depth, False))
+    return result
 
 
 def _parses(text: str) -> bool:
@@ -164,46 +167,50 @@
     return True
 
 
-def _error_line(text: str, seen: _Scan) -> tuple[int, str]:
-    if seen.unclosed:
-        return seen.unclosed, "a string or comment that begins here has no end"
+def _error_line(text: str, scan: _Scan) -> tuple[int, str]:
+    """Finds the line of a syntax error and its description.
+
+    That is the first line after which the text, with its open braces closed, no longer parses.
+    """
+    if scan.unclosed_line:
+        return scan.unclosed_line, "a string or comment that begins here is not closed"
     lines = text.split("\n")
-    for number, (depth, inside) in enumerate(seen.open_at, 1):
-        if inside or lines[number - 1].rstrip().endswith("\\"):
+    for number, (depth, inside_token) in enumerate(scan.line_ends, 1):
+        if inside_token or lines[number - 1].rstrip().endswith("\\"):
             continue
         if depth < 0:
-            return number, "a closing brace without an opening one"
+            return number, "closing brace without an opening one"
         if not _parses("\n".join(lines[:number]) + "\n" + "}\n" * depth):
-            return number, "not KDL"
+            return number, "not valid KDL"
     return len(lines), "the document ends before all braces are closed"
 
 
 def parse(text: str, file: str) -> list[Node]:
-    """The top nodes of a document; raises SettingsError with the line of a syntax error."""
+    """Returns the top-level nodes of a document; raises SettingsError with the line of a syntax error."""
     text = text.replace("\r\n", "\n")
-    seen = _scan(text)
+    scan = _scan(text)
     try:
-        found = ckdl.parse(text).nodes
+        parsed_nodes = ckdl.parse(text).nodes
     except ckdl.ParseError:
-        line, why = _error_line(text, seen)
-        raise SettingsError([Problem(file, line, why)]) from None
-    lines = iter(seen.nodes)
+        line, reason = _error_line(text, scan)
+        raise SettingsError([Problem(file, line, reason)]) from None
+    lines = iter(scan.node_lines)
 
-    def build(raw: Any) -> Node:
+    def build(parsed: Any) -> Node:
         line = next(lines, 0)
         return Node(
-            raw.name,
-            [_plain(value) for value in raw.args],
-            {name: _plain(value) for name, value in raw.properties.items()},
-            [build(child) for child in raw.children],
+            parsed.name,
+            [_plain(value) for value in parsed.args],
+            {name: _plain(value) for name, value in parsed.properties.items()},
+            [build(child) for child in parsed.children],
             line,
         )
 
-    return [build(node) for node in found]
+    return [build(node) for node in parsed_nodes]
 
 
 def read_document(path: Path) -> str:
-    """The text of a document; raises SettingsError where it can't be read."""
+    """Returns the text of a document; raises SettingsError if it can't be read."""
     try:
         return path.read_text(encoding="utf-8")
     except OSError as error:
@@ -213,5 +220,5 @@
 
 
 def _plain(value: Any) -> Any:
-    """A value without its type annotation."""
+    """Strips the KDL type annotation from a value."""
     return value.value if isinstance(value, ckdl.Value) else value
