--- a/swiftwell/settings/site.py
+++ b/swiftwell/settings/site.py
@@ -1,6 +1,7 @@
-"""The settings of one gateway at one site: the document's classes, the checks across them, and what they
-mean to the
-module."""
+"""The settings of one gateway at one site.
+
+Holds the classes of the document, the checks across fields, and the conversion to the router's settings.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Class:
+class RequestClassSettings:
     """A class of calls."""
 
     name: str = setting(arg=True, low=1, doc="name of the class, a level of the trigger topic")
@@ -28,96 +29,108 @@
         choice=tuple(_EFFECTS),
         doc="safe to repeat, keyed (workers drop repeats), or unsafe (must never run twice)",
     )
-    wanted_ms: int = setting(low=1, high=_DAY_MS, doc="ms within which an answer has its full worth")
-    deadline_ms: int = setting(low=1, high=_DAY_MS, doc="ms after which its clients give up at the latest")
+    wanted_ms: int = setting(low=1, high=_DAY_MS, doc="ms within which an answer has its full value")
+    deadline_ms: int = setting(low=1, high=_DAY_MS, doc="ms after which its clients time out at the latest")
     worth: float = setting(
-        1.0, low=0.0, high=1e6, doc="what an answer in time is worth against other classes"
+        1.0, low=0.0, high=1e6, doc="value of an answer in time, relative to other classes"
     )
-    late_worth: float = setting(0.0, low=0.0, high=1.0, doc="part of the worth that a late answer has")
+    late_worth: float = setting(0.0, low=0.0, high=1.0, doc="share of that value that a late answer keeps")
     scope: str = setting(
-        "all", choice=("all", "zone", "cell"), doc="keyed: which workers drop repeats of each other's calls"
+        "all",
+        choice=("all", "zone", "cell"),
+        doc="keyed: the group of workers that deduplicate calls together",
+    )
+    memory_ms: int = setting(
+        0, low=0, high=_DAY_MS, doc="keyed: ms for which workers remember a key to drop repeats"
     )
-    memory_ms: int = setting(0, low=0, high=_DAY_MS, doc="keyed: ms for which workers drop repeats")
-    streamed: bool = setting(False, doc="answers begin before they end")
+    streamed: bool = setting(False, doc="answers are streamed")
 
 
 @dataclass(frozen=True, kw_only=True)
 class MachineKind:
     """A kind of machine."""
 
-    name: str = setting(arg=True, low=1, doc="name, as the list of workers states it")
-    memory_mb: float = setting(low=1, high=1e9, doc="MB for loaded copies")
+    name: str = setting(arg=True, low=1, doc="name, as in the worker list")
+    memory_mb: float = setting(low=1, high=1e9, doc="memory for loaded copies in MB")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Function:
-    """What is known of functions beforehand."""
+    """Expected properties of the functions that match a pattern."""
 
-    pattern: str = setting(
-        arg=True, low=1, doc="function or pattern with * and ?; the first that fits counts"
-    )
-    memory_mb: float = setting(0.0, low=0, high=1e9, doc="MB that a loaded copy takes")
-    lanes: int = setting(1, low=1, high=1024, doc="calls that a copy runs at a time")
-    load_ms: int = setting(0, low=0, high=_DAY_MS, doc="ms that a load usually takes; 0 is unknown")
-    work_ms: int = setting(0, low=0, high=_DAY_MS, doc="ms that a call usually takes; 0 is unknown")
+    pattern: str = setting(arg=True, low=1, doc="function or pattern with * and ?; the first match applies")
+    memory_mb: float = setting(0.0, low=0, high=1e9, doc="memory of a loaded copy in MB")
+    lanes: int = setting(1, low=1, high=1024, doc="calls that a copy runs concurrently")
+    load_ms: int = setting(0, low=0, high=_DAY_MS, doc="usual ms of a load; 0 if unknown")
+    work_ms: int = setting(0, low=0, high=_DAY_MS, doc="usual ms of a call; 0 if unknown")
 
 
 @dataclass(frozen=True, kw_only=True)
 class StaticWorker:
-    """A worker that is always on the list."""
+    """A worker that is always listed."""
 
     address: str = setting(arg=True, low=3, doc="HOST:PORT")
     kind: str = setting("", doc="kind of machine")
-    zone: str = setting("", doc="room or zone")
-    cell: int = setting(0, low=0, high=1_000_000, doc="group that drops repeats together")
+    zone: str = setting("", doc="zone")
+    cell: int = setting(0, low=0, high=1_000_000, doc="group of workers that share deduplication")
 
 
 @dataclass(frozen=True, kw_only=True)
 class ListService:
-    """Servers that know the workers."""
+    """A service that lists the workers."""
 
-    servers: tuple[str, ...] = setting((), doc="HOST:PORT of each server, in the order they are tried")
-    service: str = setting("calc", low=1, doc="name of the service that the workers are instances of")
-    wait_s: int = setting(10, low=1, high=600, doc="s that a question may wait for a change")
+    servers: tuple[str, ...] = setting(
+        (), doc="HOST:PORT of each server, in the order in which they are tried"
+    )
+    service: str = setting("calc", low=1, doc="name of the service whose instances are the workers")
+    wait_s: int = setting(10, low=1, high=600, doc="s that a query may wait for a change")
     peers: tuple[str, ...] = setting(
-        (), doc="HOST:PORT of other gateways' health pages, asked while no server answers"
+        (), doc="HOST:PORT of other gateways' health endpoints, queried while no server answers"
     )
-    save: bool = setting(True, doc="keep the list in the state folder, to start from when no server answers")
+    save: bool = setting(True, doc="save the list in the state folder, for a start while no server answers")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Workers:
-    """Workers and what they can do."""
+    """The workers, their capabilities and limits."""
 
     worker: tuple[StaticWorker, ...] = setting((), doc="a worker that is always on the list")
-    file: str = setting("", doc="file of `worker` nodes, watched for changes")
-    list: ListService | None = setting(None, doc="a list service, asked for changes")
+    file: str = setting("", doc="file of `worker` nodes, reloaded when it changes")
+    list: ListService | None = setting(None, doc="a list service, queried for changes")
     zone: str = setting("", doc="zone of this gateway")
-    orders: bool = setting(True, doc="workers take orders to load")
-    misses: bool = setting(False, doc="a worker without a copy answers miss, it loads by order only")
-    idle_life_ms: int = setting(10_000, low=0, high=_DAY_MS, doc="ms that an idle copy stays loaded at least")
-    order_timeout_ms: int = setting(10_000, low=1, high=_DAY_MS, doc="ms until an order counts as unanswered")
+    orders: bool = setting(True, doc="workers accept load orders")
+    misses: bool = setting(False, doc="a worker without a copy answers `miss` and loads only by load order")
+    idle_life_ms: int = setting(10_000, low=0, high=_DAY_MS, doc="minimum ms that an idle copy stays loaded")
+    order_timeout_ms: int = setting(
+        10_000, low=1, high=_DAY_MS, doc="ms after which a load order counts as unanswered"
+    )
     load_free: float = setting(
-        0.0, low=0, high=1e6, doc="orders to load allowed in a window, whatever the traffic"
+        0.0, low=0, high=1e6, doc="load orders allowed in a window regardless of traffic"
     )
     load_share: float = setting(
-        0.0, low=0, high=1e3, doc="and so many more for each call taken in the window"
-    )
-    load_window_ms: int = setting(0, low=0, high=_DAY_MS, doc="ms of that window; 0 is no limit")
-    attempts: int = setting(3, low=1, high=16, doc="attempts for one call at most")
-    second_copies: bool = setting(False, doc="a second attempt may start while the first runs")
-    cancel: bool = setting(True, doc="an attempt may be given up before its time")
-    cold_share: float = setting(1.0, low=0.001, high=1, doc="part of its work that a started worker can do")
-    cold_ms: int = setting(0, low=0, high=_DAY_MS, doc="ms until a started worker is warm")
-    fall_multiple: float = setting(1.0, low=0.001, high=1e3, doc="times that part at which it falls over")
-    fall_ms: int = setting(0, low=0, high=_DAY_MS, doc="ms of such load after which it falls over")
-    connections: int = setting(64, low=1, high=4096, doc="connections to one worker at most")
+        0.0, low=0, high=1e3, doc="further load orders allowed for each call accepted in the window"
+    )
+    load_window_ms: int = setting(0, low=0, high=_DAY_MS, doc="length of that window in ms; 0 for no limit")
+    attempts: int = setting(3, low=1, high=16, doc="maximum attempts for a call")
+    second_copies: bool = setting(False, doc="a second attempt may start while the first is in flight")
+    cancel: bool = setting(True, doc="an attempt may be cancelled before its deadline")
+    cold_share: float = setting(1.0, low=0.001, high=1, doc="share of its capacity that a cold worker has")
+    cold_ms: int = setting(0, low=0, high=_DAY_MS, doc="ms after its start until a worker is warm")
+    fall_multiple: float = setting(
+        1.0, low=0.001, high=1e3, doc="multiple of that share at which a cold worker collapses from overload"
+    )
+    fall_ms: int = setting(
+        0, low=0, high=_DAY_MS, doc="ms of such overload after which a cold worker collapses"
+    )
+    connections: int = setting(64, low=1, high=4096, doc="maximum connections to a worker")
     worker_connections: int = setting(
         0, low=0, high=1_000_000,
-        doc="connections to one worker from all gateways together: the fleet's budget `connections`; 0 none",
+        doc="connections to one worker from all gateways: the fleet's budget `connections`; 0 for no limit",
     )  # fmt: skip
-    connect_ms: int = setting(250, low=1, high=60_000, doc="ms until a connection counts as failed")
-    answer_bytes: int = setting(1 << 20, low=1, high=1 << 28, doc="bytes of an answer at most")
+    connect_ms: int = setting(
+        250, low=1, high=60_000, doc="ms after which a connection attempt counts as failed"
+    )
+    answer_bytes: int = setting(1 << 20, low=1, high=1 << 28, doc="maximum bytes of an answer")
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -133,218 +146,252 @@
     """The MQTT endpoint."""
 
     address: str = setting("127.0.0.1", low=1, doc="address to listen on")
-    port: int = setting(1883, low=0, high=65_535, doc="port; 0 takes a free one")
-    connections: int = setting(10_000, low=1, high=1_000_000, doc="connections at most")
-    sessions: int = setting(20_000, low=1, high=1_000_000, doc="sessions at most, connected or not")
-    receive_maximum: int = setting(256, low=1, high=65_535, doc="unacknowledged triggers of one client")
-    packet_bytes: int = setting(262_144, low=64, high=1 << 28, doc="bytes of a packet at most")
-    waiting_bytes: int = setting(1 << 22, low=1_024, high=1 << 30, doc="bytes that may wait for one client")
-    waiting_answers: int = setting(256, low=1, high=65_535, doc="answers that may wait for one client")
-    open_calls: int = setting(1_024, low=1, high=1_000_000, doc="triggers of one client without an answer")
+    port: int = setting(1883, low=0, high=65_535, doc="port; 0 for a free one")
+    connections: int = setting(10_000, low=1, high=1_000_000, doc="maximum connections")
+    sessions: int = setting(20_000, low=1, high=1_000_000, doc="maximum sessions, connected or not")
+    receive_maximum: int = setting(256, low=1, high=65_535, doc="maximum unacknowledged triggers of a client")
+    packet_bytes: int = setting(262_144, low=64, high=1 << 28, doc="maximum bytes of a packet")
+    waiting_bytes: int = setting(1 << 22, low=1_024, high=1 << 30, doc="maximum bytes queued for a client")
+    waiting_answers: int = setting(256, low=1, high=65_535, doc="maximum answers queued for a client")
+    open_calls: int = setting(1_024, low=1, high=1_000_000, doc="maximum unanswered triggers of a client")
     session_s: int = setting(
-        3_600, low=0, high=_DAY_MS, doc="s that a session outlives its connection at most"
+        3_600, low=0, high=_DAY_MS, doc="maximum s that a session outlives its connection"
     )
-    keep_alive_s: int = setting(300, low=1, high=65_535, doc="s between two packets of a client at most")
-    user: tuple[User, ...] = setting((), doc="who may connect; without any, everyone may")
+    keep_alive_s: int = setting(300, low=1, high=65_535, doc="maximum s between two packets of a client")
+    user: tuple[User, ...] = setting((), doc="a user that may connect; without any, every client may")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Broker:
-    """An MQTT broker that brings triggers."""
+    """An MQTT broker to receive triggers from."""
 
     name: str = setting(arg=True, low=1, doc="name, for the log")
-    address: tuple[str, ...] = setting(doc="HOST:PORT, one or several that are tried in turn")
-    client_id: str = setting("", doc="client identifier; the gateway's name where none is given")
-    share: str = setting("", doc="name of a shared subscription, where several gateways take turns")
+    address: tuple[str, ...] = setting(doc="HOST:PORT of one or more addresses, tried in turn")
+    client_id: str = setting("", doc="client identifier; the gateway's name by default")
+    share: str = setting("", doc="name of a shared subscription, if several gateways share the triggers")
     version: str = setting("5.0", choice=("5.0", "3.1.1"), doc="protocol version")
     username: str = setting("", doc="user name")
     password: str = setting("", doc="password")
-    keep_alive_s: int = setting(30, low=1, high=65_535, doc="s between two packets of ours at most")
-    session_s: int = setting(3_600, low=0, high=_DAY_MS, doc="s that the broker keeps our session")
-    receive_maximum: int = setting(256, low=1, high=65_535, doc="triggers that we leave unacknowledged")
-    packet_bytes: int = setting(262_144, low=64, high=1 << 28, doc="bytes of a packet at most")
-    waiting_answers: int = setting(10_000, low=1, high=65_535, doc="answers that may wait for the broker")
-    open_calls: int = setting(10_000, low=1, high=1_000_000, doc="its triggers without an answer")
+    keep_alive_s: int = setting(30, low=1, high=65_535, doc="maximum s between two packets of this gateway")
+    session_s: int = setting(3_600, low=0, high=_DAY_MS, doc="s that the broker keeps the session")
+    receive_maximum: int = setting(256, low=1, high=65_535, doc="maximum unacknowledged triggers")
+    packet_bytes: int = setting(262_144, low=64, high=1 << 28, doc="maximum bytes of a packet")
+    waiting_answers: int = setting(10_000, low=1, high=65_535, doc="maximum answers queued for the broker")
+    open_calls: int = setting(10_000, low=1, high=1_000_000, doc="maximum unanswered triggers of the broker")
 
 
 @dataclass(frozen=True, kw_only=True)
 class AmqpQueue:
-    """A queue that triggers come from."""
+    """A queue to receive triggers from."""
 
     name: str = setting(arg=True, low=1, high=255, doc="name of the queue")
-    declare: bool = setting(True, doc="make it where it is not there; else it must be there")
-    durable: bool = setting(True, doc="it outlives a restart of the broker")
-    exchange: str = setting("", low=0, high=255, doc="exchange that it is bound to; none: written to by name")
+    declare: bool = setting(True, doc="declare the queue; if false, it must exist")
+    durable: bool = setting(True, doc="the queue survives a restart of the broker")
+    exchange: str = setting(
+        "",
+        low=0,
+        high=255,
+        doc="exchange that the queue is bound to; by default only the default exchange reaches it",
+    )
     exchange_type: str = setting("topic", choice=("topic", "direct", "fanout"), doc="type of the exchange")
-    key: tuple[str, ...] = setting((), doc="routing keys that it is bound by; none is all")
-    dead_letter: str = setting("", low=0, high=255, doc="exchange for what the broker drops, as it is made")
-    max_priority: int = setting(0, low=0, high=255, doc="priorities that it knows, as it is made; 0 is none")
+    key: tuple[str, ...] = setting((), doc="routing keys of the binding; by default all")
+    dead_letter: str = setting(
+        "", low=0, high=255, doc="dead-letter exchange that the queue is declared with"
+    )
+    max_priority: int = setting(
+        0, low=0, high=255, doc="maximum priority that the queue is declared with; 0 for none"
+    )
 
 
 @dataclass(frozen=True, kw_only=True)
 class AmqpBroker:
-    """An AMQP 0-9-1 broker that brings triggers."""
+    """An AMQP 0-9-1 broker to receive triggers from."""
 
     name: str = setting(arg=True, low=1, doc="name, for the log")
-    address: tuple[str, ...] = setting(doc="HOST:PORT, one or several that are tried in turn")
-    queues: tuple[AmqpQueue, ...] = setting(node="queue", doc="a queue that triggers come from")
+    address: tuple[str, ...] = setting(doc="HOST:PORT of one or more addresses, tried in turn")
+    queues: tuple[AmqpQueue, ...] = setting(node="queue", doc="a queue to receive triggers from")
     vhost: str = setting("/", low=1, high=255, doc="virtual host")
     username: str = setting("guest", doc="user name")
     password: str = setting("guest", doc="password")
-    heartbeat_s: int = setting(30, low=1, high=3_600, doc="s between heartbeats that we ask for")
-    frame_bytes: int = setting(131_072, low=4_096, high=1 << 24, doc="bytes of a frame that we ask for")
-    body_bytes: int = setting(262_144, low=1, high=1 << 28, doc="bytes of a trigger at most")
-    prefetch_least: int = setting(1, low=1, high=65_535, doc="unanswered triggers that we hold at least")
-    prefetch_most: int = setting(2_000, low=1, high=65_535, doc="and at most; equal to the least it is fixed")
+    heartbeat_s: int = setting(30, low=1, high=3_600, doc="requested s between heartbeats")
+    frame_bytes: int = setting(131_072, low=4_096, high=1 << 24, doc="requested maximum bytes of a frame")
+    body_bytes: int = setting(262_144, low=1, high=1 << 28, doc="maximum bytes of a trigger")
+    prefetch_least: int = setting(
+        1, low=1, high=65_535, doc="lower bound of the prefetch, in unanswered triggers"
+    )
+    prefetch_most: int = setting(
+        2_000, low=1, high=65_535, doc="upper bound of the prefetch; if equal to the lower, it is fixed"
+    )
     redelivered: str = setting(
         "known",
-        choice=tuple(one.value for one in Redelivered),
-        doc="triggers with effects that were delivered before: run what is known not to have run, or never",
+        choice=tuple(policy.value for policy in Redelivered),
+        doc="redelivered triggers with effects: run those known not to have run, or never run them",
+    )
+    dead_letter: str = setting(
+        "", low=0, high=255, doc="exchange for triggers that can't be read, with the reason"
     )
-    dead_letter: str = setting("", low=0, high=255, doc="exchange for what can't be read, with the reason")
-    unroutable: str = setting("", low=0, high=255, doc="queue for answers whose reply queue is gone")
-    waiting_answers: int = setting(10_000, low=1, high=1_000_000, doc="answers that may wait for the broker")
-    waiting_bytes: int = setting(1 << 24, low=1 << 16, high=1 << 30, doc="bytes that may wait for it")
-    open_calls: int = setting(10_000, low=1, high=1_000_000, doc="its triggers without an answer")
+    unroutable: str = setting("", low=0, high=255, doc="queue for answers whose reply queue no longer exists")
+    waiting_answers: int = setting(10_000, low=1, high=1_000_000, doc="maximum answers queued for the broker")
+    waiting_bytes: int = setting(
+        1 << 24, low=1 << 16, high=1 << 30, doc="maximum bytes queued for the broker"
+    )
+    open_calls: int = setting(10_000, low=1, high=1_000_000, doc="maximum unanswered triggers of the broker")
 
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerSettings:
-    """The ledger of effects."""
+    """The ledger, which records calls with effects."""
 
     folder: str = setting("ledger", low=1, doc="folder, below the state folder")
-    keep_s: int = setting(
-        86_400, low=1, high=31_536_000, doc="s that a key is remembered after its last record"
-    )
+    keep_s: int = setting(86_400, low=1, high=31_536_000, doc="s that a key is kept after its last record")
     entries: int = setting(
-        200_000, low=1, high=100_000_000, doc="keys at most; beyond it unsafe calls are refused"
+        200_000, low=1, high=100_000_000, doc="maximum keys; beyond that, unsafe calls are refused"
     )
-    bytes: int = setting(1 << 28, low=1 << 17, high=1 << 34, doc="bytes of keys and answers at most")
+    bytes: int = setting(1 << 28, low=1 << 17, high=1 << 34, doc="maximum bytes of keys and answers")
 
 
 @dataclass(frozen=True, kw_only=True)
 class LogSettings:
-    """The log."""
+    """Format, level and rate limit of the log."""
 
-    format: str = setting("console", choice=("console", "json"), doc="form of a line")
-    level: str = setting("info", choice=("debug", "info", "warning", "error"), doc="least level written")
+    format: str = setting("console", choice=("console", "json"), doc="format of a line")
+    level: str = setting(
+        "info", choice=("debug", "info", "warning", "error"), doc="minimum level that is written"
+    )
     per_kind: int = setting(
-        20, low=1, high=100_000, doc="lines of one kind in ten seconds; the rest is counted"
+        20, low=1, high=100_000, doc="maximum lines of one kind in ten seconds; further ones are only counted"
     )
 
 
 @dataclass(frozen=True, kw_only=True)
 class Health:
-    """The page for health and figures."""
+    """The HTTP endpoint for health and metrics."""
 
     address: str = setting("127.0.0.1", low=1, doc="address to listen on")
-    port: int = setting(0, low=0, high=65_535, doc="port; 0 takes a free one")
+    port: int = setting(0, low=0, high=65_535, doc="port; 0 for a free one")
 
 
 @dataclass(frozen=True, kw_only=True)
 class FleetMember:
-    """One gateway of the fleet; the order of the members is the roster, the same at every one of them."""
+    """A gateway of the fleet; the order of the members is the roster and must be the same at all of them."""
 
     name: str = setting(arg=True, low=1, doc="name of the gateway, as its own settings have it")
-    at: str = setting(low=1, doc="HOST:PORT where its datagrams go")
-    zone: str = setting("", doc="its zone: members of one share a reader of the list")
+    at: str = setting(low=1, doc="HOST:PORT that datagrams for it are sent to")
+    zone: str = setting("", doc="its zone: the members of a zone share a reader of the worker list")
 
 
 @dataclass(frozen=True, kw_only=True)
 class FleetDrill:
-    """An exercise: whoever holds the lease acts at a resource, again and again."""
+    """A lease exercise: the holder of the lease repeats an action at a resource."""
 
     lease: str = setting(arg=True, low=1, doc="name of the lease")
     resource: str = setting(low=1, doc="HOST:PORT of the resource")
-    act_ms: int = setting(50, low=1, high=60_000, doc="ms that an act takes")
+    act_ms: int = setting(50, low=1, high=60_000, doc="ms that an action takes")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """Gateways that agree: who lives, who may act alone, what part of a budget is whose."""
+    """A fleet of gateways, which agree on membership, leases and shares of budgets."""
 
-    listen: str = setting("", doc="HOST:PORT to receive at; empty is our own `at`")
-    epoch: int = setting(1, low=1, high=1 << 31, doc="number of this roster; grows with every change of it")
+    listen: str = setting("", doc="HOST:PORT to receive at; by default this gateway's own `at`")
+    epoch: int = setting(
+        1, low=1, high=1 << 31, doc="number of this roster; must grow with each change of it"
+    )
     voters: int = setting(3, low=1, high=9, doc="members that grant each lease")
-    term_ms: int = setting(10_000, low=500, high=600_000, doc="ms of a lease; also the silence after a start")
-    period_ms: int = setting(1_000, low=50, high=60_000, doc="ms between two pings of ours")
-    key_file: str = setting("", doc="file with the key that datagrams are checked by; empty is no check")
+    term_ms: int = setting(
+        10_000,
+        low=500,
+        high=600_000,
+        doc="ms that a lease lasts; also the ms after a start in which this gateway grants none",
+    )
+    period_ms: int = setting(1_000, low=50, high=60_000, doc="ms between two pings of this gateway")
+    key_file: str = setting(
+        "", doc="file with the key that authenticates datagrams; empty for no authentication"
+    )
     member: tuple[FleetMember, ...] = setting((), node="member", doc="a member of the roster")
-    before: tuple[str, ...] = setting((), doc="names of the roster that this epoch replaces, while it does")
+    before: tuple[str, ...] = setting(
+        (), doc="member names of the roster that this epoch replaces, during the change"
+    )
     budgets: tuple[str, ...] = setting(
-        (), doc="names of budgets that are divided; `cold` is what starting workers are offered"
+        (), doc="names of the budgets that the members divide; `cold` is the load offered to cold workers"
     )
     one_reader: bool = setting(
-        False, doc="one member a zone asks the list service and passes the list on to the others"
+        False, doc="one member of each zone queries the list service and passes the list on"
     )
     one_order: bool = setting(
         False,
-        doc="a function's copy is ordered once, by whoever is let by the member asked for that function",
+        doc="a copy of a function is ordered only once: one member per function permits its load orders",
     )
     list_rate: float = setting(
         3.0,
         low=0.01,
         high=1_000,
-        doc="questions a second that all zones together ask the list service while nobody reads",
+        doc="queries a second from all zones to the list service while no member reads it",
     )
     sites: bool = setting(
-        False, doc="members' zones are sites: their loss is judged, load refused by order, their return paced"
+        False, doc="zones are sites: detect their loss, refuse classes in order, ramp up their return"
     )
     sacrifice: tuple[str, ...] = setting(
         (),
-        doc="classes in the order in which they are refused while a site is lost; none is by worth",
+        doc="classes in the order in which they are refused while a site is lost; by default by worth",
     )
-    drill: tuple[FleetDrill, ...] = setting((), node="drill", doc="an exercise")
+    drill: tuple[FleetDrill, ...] = setting((), node="drill", doc="a lease exercise")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Site:
-    """A gateway at its site."""
+    """The settings of a gateway."""
 
-    name: str = setting("gateway", low=1, doc="name of this gateway, unique among all that share workers")
-    state: str = setting("state", low=1, doc="folder for what outlives the process")
+    name: str = setting(
+        "gateway", low=1, doc="name of this gateway, unique among those that share the workers"
+    )
+    state: str = setting("state", low=1, doc="folder for data that outlives the process")
     gateways: int = setting(1, low=1, high=100_000, doc="gateways that share the workers, this one included")
     position: int = setting(0, low=0, high=100_000, doc="number of this gateway among them, from 0")
-    topic: str = setting("calls", low=1, doc="first levels of the trigger topics")
-    tick_ms: int = setting(2, low=1, high=100, doc="ms within which a timer of the module comes")
-    margin_ms: int = setting(10, low=0, high=10_000, doc="ms kept back from each call for its answer's way")
+    topic: str = setting("calls", low=1, doc="leading levels of the trigger topics")
+    tick_ms: int = setting(2, low=1, high=100, doc="ms within which a due timer of the router fires")
+    margin_ms: int = setting(
+        10, low=0, high=10_000, doc="ms of each call's deadline reserved for returning the answer"
+    )
     open_calls: int = setting(
-        20_000, low=1, high=1_000_000, doc="calls at a time; beyond it they are refused"
+        20_000, low=1, high=1_000_000, doc="maximum open calls; beyond that, calls are refused"
     )
     max_wait_ms: int = setting(
-        2_000, low=0, high=_DAY_MS, doc="ms that a refusal asks a client to wait at most"
+        2_000, low=0, high=_DAY_MS, doc="maximum ms that a refusal asks a client to wait"
     )
-    classes: tuple[Class, ...] = setting((), node="class", doc="a class of calls")
+    classes: tuple[RequestClassSettings, ...] = setting((), node="class", doc="a class of calls")
     kinds: tuple[MachineKind, ...] = setting((), node="kind", doc="a kind of machine")
-    functions: tuple[Function, ...] = setting(
-        (), node="function", doc="what is known of functions beforehand"
-    )
+    functions: tuple[Function, ...] = setting((), node="function", doc="expected properties of functions")
     workers: Workers = setting(Workers, doc="where calls run")
     listener: Listener | None = setting(None, node="mqtt-listener", doc="the MQTT endpoint")
-    brokers: tuple[Broker, ...] = setting((), node="mqtt-broker", doc="an MQTT broker that brings triggers")
-    amqp: tuple[AmqpBroker, ...] = setting((), node="amqp-broker", doc="an AMQP broker that brings triggers")
+    brokers: tuple[Broker, ...] = setting(
+        (), node="mqtt-broker", doc="an MQTT broker to receive triggers from"
+    )
+    amqp: tuple[AmqpBroker, ...] = setting(
+        (), node="amqp-broker", doc="an AMQP broker to receive triggers from"
+    )
     ledger: LedgerSettings = setting(LedgerSettings, doc="the ledger of effects")
     log: LogSettings = setting(LogSettings, doc="the log")
-    health: Health | None = setting(None, doc="the page for health and figures")
+    health: Health | None = setting(None, doc="the HTTP endpoint for health and metrics")
     fleet: Fleet | None = setting(None, doc="the fleet that this gateway belongs to")
 
     def router_settings(self) -> io.Settings:
-        """What the module is told; the rest keeps the neutral defaults of the interface."""
+        """Returns the router's settings; those without a setting here keep the defaults of `interface`."""
         workers = self.workers
         return io.Settings(
             classes=tuple(
                 io.RequestClass(
-                    name=c.name,
-                    target_us=c.wanted_ms * 1_000,
-                    deadline_us=c.deadline_ms * 1_000,
-                    effect=_EFFECTS[c.effect],
-                    scope=c.scope,
-                    memory_us=c.memory_ms * 1_000,
-                    streamed=c.streamed,
-                    worth=c.worth,
-                    late_worth=c.late_worth,
+                    name=class_.name,
+                    target_us=class_.wanted_ms * 1_000,
+                    deadline_us=class_.deadline_ms * 1_000,
+                    effect=_EFFECTS[class_.effect],
+                    scope=class_.scope,
+                    memory_us=class_.memory_ms * 1_000,
+                    streamed=class_.streamed,
+                    worth=class_.worth,
+                    late_worth=class_.late_worth,
                 )
-                for c in self.classes
+                for class_ in self.classes
             ),
             routers=self.gateways,
             position=self.position,
@@ -372,26 +419,28 @@
         )
 
     def deadlines_ms(self) -> dict[str, float]:
-        """Each class's deadline."""
-        return {one.name: float(one.deadline_ms) for one in self.classes}
+        """Returns the deadline of each class in ms."""
+        return {class_.name: float(class_.deadline_ms) for class_ in self.classes}
 
     def hint(self, function: str) -> FunctionHint:
-        """What is known of a function beforehand."""
-        for one in self.functions:
-            if fnmatchcase(function, one.pattern):
-                return FunctionHint(one.memory_mb, one.lanes, one.work_ms * 1_000, one.load_ms * 1_000)
+        """Returns the expected properties of a function."""
+        for known in self.functions:
+            if fnmatchcase(function, known.pattern):
+                return FunctionHint(
+                    known.memory_mb, known.lanes, known.work_ms * 1_000, known.load_ms * 1_000
+                )
         return FunctionHint()
 
 
 def host_port(text: str) -> tuple[str, int]:
-    """HOST:PORT as its parts; raises ValueError."""
+    """Splits HOST:PORT; raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(f"{text!r} is not HOST:PORT")
     return host, int(port)
 
 
-def _addresses(reader: Reader, line: int, what: str, addresses: tuple[str, ...]) -> None:
+def _check_addresses(reader: Reader, line: int, what: str, addresses: tuple[str, ...]) -> None:
     for address in addresses:
         try:
             host_port(address)
@@ -399,7 +448,7 @@
             reader.add_problem(line, f"{what}: {error}")
 
 
-def _twice(reader: Reader, what: str, names: list[tuple[str, object]]) -> None:
+def _check_duplicates(reader: Reader, what: str, names: list[tuple[str, object]]) -> None:
     seen: set[str] = set()
     for name, owner in names:
         if name in seen:
@@ -408,126 +457,133 @@
 
 
 def _check(reader: Reader, site: Site) -> None:
-    """What no single field can tell."""
+    """Checks rules that involve more than one field."""
     if not site.classes:
-        reader.add_problem(1, "no class of calls: at least one `class NAME` is expected")
-    for one in site.classes:
-        line = reader.line_of(one)
-        if one.wanted_ms and one.deadline_ms and one.wanted_ms > one.deadline_ms:
-            reader.add_problem(line, f"class {one.name}: wanted-ms is beyond deadline-ms")
-        if one.effect == "keyed" and not one.memory_ms:
+        reader.add_problem(1, "no class of calls: expected at least one `class NAME`")
+    for class_ in site.classes:
+        line = reader.line_of(class_)
+        if class_.wanted_ms and class_.deadline_ms and class_.wanted_ms > class_.deadline_ms:
+            reader.add_problem(line, f"class {class_.name}: wanted-ms is greater than deadline-ms")
+        if class_.effect == "keyed" and not class_.memory_ms:
             reader.add_problem(
-                line, f"class {one.name}: keyed wants memory-ms, for how long workers drop repeats"
+                line,
+                f"class {class_.name}: effect keyed needs memory-ms, the time for which workers drop repeats",
             )
-        if "/" in (one.name or "") or set(one.name or "") & set("+#"):
-            reader.add_problem(line, f"class {one.name}: a class is one level of a topic, without / + #")
-        longest = site.ledger.keep_s * 1_000
-        if one.effect != "safe" and one.deadline_ms and one.deadline_ms * 4 > longest:
+        if "/" in (class_.name or "") or set(class_.name or "") & set("+#"):
             reader.add_problem(
-                line, f"class {one.name}: ledger keep-s wants four times its deadline at least, for retries"
+                line, f"class {class_.name}: a class name is one topic level and must not contain / + #"
             )
-    _twice(reader, "class", [(one.name, one) for one in site.classes])
-    _twice(reader, "kind", [(one.name, one) for one in site.kinds])
-    _twice(reader, "mqtt-broker", [(one.name, one) for one in site.brokers])
-    _twice(reader, "amqp-broker", [(one.name, one) for one in site.amqp])
-    _twice(reader, "worker", [(one.address, one) for one in site.workers.worker])
+        keep_ms = site.ledger.keep_s * 1_000
+        if class_.effect != "safe" and class_.deadline_ms and class_.deadline_ms * 4 > keep_ms:
+            reader.add_problem(
+                line,
+                f"class {class_.name}: ledger keep-s must be at least four times its deadline, for retries",
+            )
+    _check_duplicates(reader, "class", [(class_.name, class_) for class_ in site.classes])
+    _check_duplicates(reader, "kind", [(kind.name, kind) for kind in site.kinds])
+    _check_duplicates(reader, "mqtt-broker", [(broker.name, broker) for broker in site.brokers])
+    _check_duplicates(reader, "amqp-broker", [(broker.name, broker) for broker in site.amqp])
+    _check_duplicates(reader, "worker", [(worker.address, worker) for worker in site.workers.worker])
     kinds = {kind.name for kind in site.kinds}
     for worker in site.workers.worker:
-        _addresses(reader, reader.line_of(worker), "worker", (worker.address or "",))
+        _check_addresses(reader, reader.line_of(worker), "worker", (worker.address or "",))
         if worker.kind and worker.kind not in kinds:
-            reader.add_problem(reader.line_of(worker), f"worker: no kind {worker.kind!r} is given")
+            reader.add_problem(reader.line_of(worker), f"worker: kind {worker.kind!r} is not declared")
     line = reader.line_of(site.workers)
-    given = bool(site.workers.worker) + bool(site.workers.file) + (site.workers.list is not None)
-    if given != 1:
-        reader.add_problem(line, "workers wants one of: worker nodes, a file, a list")
+    source_count = bool(site.workers.worker) + bool(site.workers.file) + (site.workers.list is not None)
+    if source_count != 1:
+        reader.add_problem(line, "workers: expected exactly one of: worker nodes, a file, a list")
     if site.workers.list:
-        _addresses(reader, reader.line_of(site.workers.list), "servers", site.workers.list.servers)
-        _addresses(reader, reader.line_of(site.workers.list), "peers", site.workers.list.peers)
+        _check_addresses(reader, reader.line_of(site.workers.list), "servers", site.workers.list.servers)
+        _check_addresses(reader, reader.line_of(site.workers.list), "peers", site.workers.list.peers)
         if not site.workers.list.servers:
-            reader.add_problem(reader.line_of(site.workers.list), "list wants servers, HOST:PORT of each")
+            reader.add_problem(reader.line_of(site.workers.list), "list: expected servers, HOST:PORT of each")
     for broker in site.brokers:
-        _addresses(reader, reader.line_of(broker), f"mqtt-broker {broker.name}", broker.address)
+        _check_addresses(reader, reader.line_of(broker), f"mqtt-broker {broker.name}", broker.address)
     for amqp in site.amqp:
-        _amqp(reader, amqp)
+        _check_amqp(reader, amqp)
     if site.listener is None and not site.brokers and not site.amqp:
-        text = "nothing brings calls: an `mqtt-listener`, an `mqtt-broker` or an `amqp-broker` is expected"
+        text = "no source of calls: expected an `mqtt-listener`, an `mqtt-broker` or an `amqp-broker`"
         reader.add_problem(1, text)
     if site.listener and site.listener.waiting_bytes < site.workers.answer_bytes + 65_536:
         reader.add_problem(
             reader.line_of(site.listener),
-            "waiting-bytes wants room for an answer of workers answer-bytes and 65536 bytes more",
+            "waiting-bytes must be at least workers answer-bytes plus 65536 bytes",
         )
     if site.fleet:
-        _fleet(reader, site)
+        _check_fleet(reader, site)
     elif site.workers.worker_connections:
-        reader.add_problem(line, "worker-connections wants a fleet with the budget `connections`")
+        reader.add_problem(line, "worker-connections needs a fleet with the budget `connections`")
     if site.position >= site.gateways:
-        reader.add_problem(1, f"position {site.position} wants to be below gateways, {site.gateways}")
+        reader.add_problem(1, f"position {site.position} must be less than gateways, {site.gateways}")
 
 
-def _fleet(reader: Reader, site: Site) -> None:
+def _check_fleet(reader: Reader, site: Site) -> None:
     fleet = site.fleet
     assert fleet
-    line, names = reader.line_of(fleet), [one.name for one in fleet.member]
-    _twice(reader, "fleet: member", [(one.name, one) for one in fleet.member])
-    _twice(reader, "fleet: drill", [(one.lease, one) for one in fleet.drill])
+    line, names = reader.line_of(fleet), [member.name for member in fleet.member]
+    _check_duplicates(reader, "fleet: member", [(member.name, member) for member in fleet.member])
+    _check_duplicates(reader, "fleet: drill", [(drill.lease, drill) for drill in fleet.drill])
     if site.name not in names:
         reader.add_problem(
-            line, f"fleet: no member {site.name!r}: this gateway's own name is expected among them"
+            line, f"fleet: no member {site.name!r}: expected this gateway's own name among them"
         )
     if fleet.voters > len(names):
-        reader.add_problem(line, f"fleet: voters {fleet.voters} is more than its {len(names)} members")
-    for one in fleet.member:
-        _addresses(reader, reader.line_of(one), f"fleet: member {one.name}", (one.at,))
+        reader.add_problem(line, f"fleet: voters {fleet.voters} is greater than its {len(names)} members")
+    for member in fleet.member:
+        _check_addresses(reader, reader.line_of(member), f"fleet: member {member.name}", (member.at,))
     for drill in fleet.drill:
-        _addresses(reader, reader.line_of(drill), f"fleet: drill {drill.lease}", (drill.resource,))
+        _check_addresses(reader, reader.line_of(drill), f"fleet: drill {drill.lease}", (drill.resource,))
     if fleet.listen:
-        _addresses(reader, line, "fleet: listen", (fleet.listen,))
+        _check_addresses(reader, line, "fleet: listen", (fleet.listen,))
     if fleet.one_order and site.workers.load_window_ms:
-        text = "fleet: one-order wants no load-window-ms: orders that are held back count before they go"
+        text = (
+            "fleet: one-order excludes load-window-ms: delayed load orders would count before they are sent"
+        )
         reader.add_problem(line, text)
-    if fleet.sites and len({one.zone for one in fleet.member}) < 2:
-        reader.add_problem(line, "fleet: sites wants members in two zones at least")
+    if fleet.sites and len({member.zone for member in fleet.member}) < 2:
+        reader.add_problem(line, "fleet: sites needs members in at least two zones")
     for request_class in fleet.sacrifice:
-        if request_class not in [one.name for one in site.classes]:
-            reader.add_problem(line, f"fleet: sacrifice names no class {request_class!r}")
-    told = site.workers.worker_connections
-    if bool(told) != ("connections" in fleet.budgets):
+        if request_class not in [class_.name for class_ in site.classes]:
+            reader.add_problem(line, f"fleet: sacrifice names an unknown class {request_class!r}")
+    worker_connections = site.workers.worker_connections
+    if bool(worker_connections) != ("connections" in fleet.budgets):
         reader.add_problem(
-            line, "fleet: budget connections and worker-connections in workers want each other"
+            line, "fleet: budget connections and worker-connections in workers need each other"
         )
-    elif told and told < 2 * len(names):
+    elif worker_connections and worker_connections < 2 * len(names):
         text = (
-            f"workers: worker-connections wants twice the members, {2 * len(names)}: half of it is never lent"
+            f"workers: worker-connections must be at least twice the members, {2 * len(names)}: "
+            "half of it is never lent"
         )
         reader.add_problem(reader.line_of(site.workers), text)
     if fleet.one_reader and not site.workers.list:
-        reader.add_problem(line, "fleet: one-reader wants a `list` in workers, which it reads for the others")
-
-
-def _amqp(reader: Reader, one: AmqpBroker) -> None:
-    line, name = reader.line_of(one), f"amqp-broker {one.name}"
-    _addresses(reader, line, name, one.address or ())
-    _twice(reader, f"{name}: queue", [(queue.name, queue) for queue in one.queues or ()])
-    if not one.queues:
-        reader.add_problem(line, f"{name}: no queue: at least one `queue NAME` is expected")
-    if one.prefetch_least > one.prefetch_most:
-        reader.add_problem(line, f"{name}: prefetch-least is beyond prefetch-most")
-    for queue in one.queues or ():
+        reader.add_problem(
+            line, "fleet: one-reader needs a `list` in workers, which one member reads for the others"
+        )
+
+
+def _check_amqp(reader: Reader, broker: AmqpBroker) -> None:
+    line, name = reader.line_of(broker), f"amqp-broker {broker.name}"
+    _check_addresses(reader, line, name, broker.address or ())
+    _check_duplicates(reader, f"{name}: queue", [(queue.name, queue) for queue in broker.queues or ()])
+    if not broker.queues:
+        reader.add_problem(line, f"{name}: no queue: expected at least one `queue NAME`")
+    if broker.prefetch_least > broker.prefetch_most:
+        reader.add_problem(line, f"{name}: prefetch-least is greater than prefetch-most")
+    for queue in broker.queues or ():
         if not queue.declare and (queue.exchange or queue.dead_letter or queue.max_priority):
             reader.add_problem(
                 reader.line_of(queue),
-                f"{name}: queue {queue.name} is not made here (declare false), so it takes no exchange, "
+                f"{name}: queue {queue.name} is not declared (declare false) and must not have exchange, "
                 "dead-letter or max-priority",
             )
         if queue.key and not queue.exchange:
-            reader.add_problem(
-                reader.line_of(queue), f"{name}: queue {queue.name} has keys, and no exchange for them"
-            )
+            reader.add_problem(reader.line_of(queue), f"{name}: queue {queue.name} has keys but no exchange")
 
 
 def read(text: str, file: str) -> Site:
-    """A document as the settings of a site; raises SettingsError with everything that is wrong."""
+    """Parses the settings of a site; raises SettingsError with all problems."""
     nodes = parse(text, file)
     reader = Reader(file)
     site: Site = reader.read(Site, Node("", [], {}, nodes, 1))
@@ -538,5 +594,5 @@
 
 
 def load(path: Path) -> Site:
-    """Read a file; raises SettingsError, also where the file can't be read."""
+    """Reads a settings file; raises SettingsError, also if the file can't be read."""
     return read(read_document(path), str(path))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -55,13 +55,13 @@
     assert "s.kdl:1: name: expected a string, got 5" in found
     assert "s.kdl:2: the document has no setting clas; did you mean class?" in found
     assert "s.kdl:3: wanted-ms: expected an integer from 1 to 8.64e+07; got 0" in found
-    assert "s.kdl:4: class k: wanted-ms is beyond deadline-ms" in found
-    assert "s.kdl:4: class k: keyed wants memory-ms, for how long workers drop repeats" in found
+    assert "s.kdl:4: class k: wanted-ms is greater than deadline-ms" in found
+    assert "s.kdl:4: class k: effect keyed needs memory-ms, the time for which workers drop repeats" in found
     assert "s.kdl:5: class has no setting worht; did you mean worth?" in found
     assert "s.kdl:12: worker: 'abc' is not HOST:PORT" in found
     assert "s.kdl:13: attempts: expected an integer, got 'three'" in found
-    assert any("position 4 wants to be below gateways, 1" in one for one in found)
-    assert any("nothing brings calls" in one for one in found)
+    assert any("position 4 must be less than gateways, 1" in one for one in found)
+    assert any("no source of calls" in one for one in found)
 
 
 @pytest.mark.parametrize(
@@ -171,9 +171,9 @@
     )
     for line, words in (
         (4, "'h' is not HOST:PORT"),
-        (4, "prefetch-least is beyond prefetch-most"),
-        (6, "queue q is not made here"),
-        (7, "queue q has keys, and no exchange"),
+        (4, "prefetch-least is greater than prefetch-most"),
+        (6, "queue q is not declared"),
+        (7, "queue q has keys but no exchange"),
         (7, "queue 'q' is given twice"),
         (9, "amqp-broker 'one' is given twice"),
         (9, "no queue"),
@@ -196,9 +196,9 @@
     assert good.fleet.one_reader and good.workers.worker_connections == 8
     few = problems(text(("", 'budgets "connections"'), "worker-connections 7"))
     assert few[0].startswith("s.kdl:4: workers")
-    assert "want each other" in problems(text(("", 'budgets "connections"')))[0]
-    assert "want each other" in problems(text(("", ""), "worker-connections 8"))[0]
+    assert "need each other" in problems(text(("", 'budgets "connections"')))[0]
+    assert "need each other" in problems(text(("", ""), "worker-connections 8"))[0]
     assert "load-window-ms" in problems(text(("one-order=true", ""), "load-window-ms 1000"))[0]
     assert "one-reader" in problems(text(("one-reader=true", ""), place='worker "127.0.0.1:9"'))[0]
     alone = text(("", ""), "worker-connections 8").split("fleet")[0]
-    assert "s.kdl:4: worker-connections wants a fleet" in problems(alone)[0]
+    assert "s.kdl:4: worker-connections needs a fleet" in problems(alone)[0]
