--- a/swiftwell/cli/sites.py
+++ b/swiftwell/cli/sites.py
@@ -51,8 +51,8 @@
     )
     demands = tuple(
         Demand(
-            load.band, load.tenant, one.name, load.rate, load.work_ms / 1e3, load.worth, load.functions,
-            load.memory_mb,
+            load.request_class, load.tenant, one.name, load.rate, load.work_ms / 1e3, load.worth,
+            load.functions, load.memory_mb,
         )
         for one in told.sites
         for load in one.loads
