--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every error at once, each with its place; the example passes; every field is documented."""
+"""Tests of settings: all errors are reported together with their lines, and every field is documented."""
 
 import dataclasses
 from pathlib import Path
@@ -16,20 +16,20 @@
 EXAMPLE = Path(__file__).parents[1] / "examples" / "site.kdl"
 
 
-def problems(text, read=site.read):
+def problems_of(text, read=site.read):
     with pytest.raises(SettingsError) as error:
         read(text, "s.kdl")
     return [str(problem) for problem in error.value.problems]
 
 
 def test_the_example_passes_and_says_what_the_module_is_told():
-    told = site.load(EXAMPLE).router_settings()
-    assert told.routers == 3 and [request_class.name for request_class in told.classes] == [
+    settings = site.load(EXAMPLE).router_settings()
+    assert settings.routers == 3 and [request_class.name for request_class in settings.classes] == [
         "lectura",
         "consulta",
         "consigna",
     ]
-    assert told.classes[2].effect.value == "at_most_once" and told.cold_us == 17_000_000
+    assert settings.classes[2].effect.value == "at_most_once" and settings.cold_us == 17_000_000
     result = CliRunner().invoke(main, ["check", str(EXAMPLE)])
     assert result.exit_code == 0 and "good" in result.output
 
@@ -51,7 +51,7 @@
 }
 position 4
 """
-    found = problems(text)
+    found = problems_of(text)
     assert "s.kdl:1: name: expected a string, got 5" in found
     assert "s.kdl:2: the document has no setting clas; did you mean class?" in found
     assert "s.kdl:3: wanted-ms: expected an integer from 1 to 8.64e+07; got 0" in found
@@ -60,8 +60,8 @@
     assert "s.kdl:5: class has no setting worht; did you mean worth?" in found
     assert "s.kdl:12: worker: 'abc' is not HOST:PORT" in found
     assert "s.kdl:13: attempts: expected an integer, got 'three'" in found
-    assert any("position 4 must be less than gateways, 1" in one for one in found)
-    assert any("no source of calls" in one for one in found)
+    assert any("position 4 must be less than gateways, 1" in problem for problem in found)
+    assert any("no source of calls" in problem for problem in found)
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
     ],
 )
 def test_a_syntax_error_names_its_line(text, line):
-    assert problems(text, parse)[0].startswith(f"s.kdl:{line}: ")
+    assert problems_of(text, parse)[0].startswith(f"s.kdl:{line}: ")
 
 
 def test_lines_are_right_whatever_stands_between_the_nodes():
@@ -86,7 +86,7 @@
     text += "// h\n/* i */ j k=1 /-{\n l\n}\nm\n"
 
     def names(nodes):
-        return [one for node in nodes for one in [(node.name, node.line), *names(node.children)]]
+        return [entry for node in nodes for entry in [(node.name, node.line), *names(node.children)]]
 
     assert names(parse(text, "x")) == [("a", 1), ("b", 1), ("c", 2), ("g", 9), ("j", 12), ("m", 15)]
 
@@ -104,17 +104,17 @@
 
 def test_every_field_is_documented():
     def walk(cls):
-        for one in schema.fields_of(cls):
-            yield cls, one
-            if one.block:
-                yield from walk(one.block)
+        for spec in schema.fields_of(cls):
+            yield cls, spec
+            if spec.block:
+                yield from walk(spec.block)
 
     for top in (site.Site, days.Day):
-        for cls, one in walk(top):
-            assert one.meta["doc"], (cls, one.name)
+        for cls, spec in walk(top):
+            assert spec.meta["doc"], (cls, spec.name)
             assert len(dataclasses.fields(cls)) == len(list(schema.fields_of(cls)))
-    page = CliRunner().invoke(main, ["check", "--fields"]).output
-    assert "wanted-ms" in page and "mqtt-broker NAME (may be repeated)" in page
+    reference = CliRunner().invoke(main, ["check", "--fields"]).output
+    assert "wanted-ms" in reference and "mqtt-broker NAME (may be repeated)" in reference
 
 
 def test_all_days_are_read_and_their_sites_pass(tmp_path):
@@ -122,8 +122,10 @@
         _, day = days.load(str(path))
         text = days.site(day, 0, tmp_path, 0, ["127.0.0.1:1"], "127.0.0.1:2")
         assert site.read(text, path.name).gateways == day.gateways and day.doc
-    assert any("known days" in str(p) for p in _day_problems("no-such-day"))
-    found = problems((days.folder() / "quiet.kdl").read_text() + 'trouble "die" at=1 workers=99\n', days.read)
+    assert any("known days" in str(problem) for problem in _day_problems("no-such-day"))
+    found = problems_of(
+        (days.folder() / "quiet.kdl").read_text() + 'trouble "die" at=1 workers=99\n', days.read
+    )
     assert "the day has 8" in found[0]
 
 
@@ -135,23 +137,29 @@
 
 def test_a_file_of_workers():
     text = 'worker "127.0.0.1:1" kind="k" state="draining" started-ms=5.0\nworker "127.0.0.1:2"\n'
-    one, two = parse_worker_file(text, "w.kdl", lambda ms: int(ms * 1_000))
-    assert (one.state, one.started_us, one.kind) == (State.DRAINING, 5_000, "k") and two.state is State.READY
+    first, second = parse_worker_file(text, "w.kdl", lambda ms: int(ms * 1_000))
+    assert (first.state, first.started_us, first.kind) == (
+        State.DRAINING,
+        5_000,
+        "k",
+    ) and second.state is State.READY
     with pytest.raises(SettingsError, match=r"w.kdl:2.*given twice"):
         parse_worker_file('worker "a:1"\nworker "a:1"\n', "w.kdl", int)
 
 
 def test_an_answer_of_the_list_service_with_malformed_entries_keeps_the_others():
     good = b'{"Service":{"Address":"127.0.0.1","Port":9,"Meta":{"kind":"k","started_ms":"2.0"}},"Checks":[]}'
-    drains = b'{"Service":{"Address":"127.0.0.1","Port":8,"Meta":{}},"Checks":[{"Status":"critical"}]}'
-    odd = b'{"Service":{"Address":"127.0.0.1","Port":0}}'
-    entries, bad = parse_instances(b"[" + b",".join([good, drains, odd, b"5"]) + b"]", lambda ms: int(ms))
-    assert [(e.worker, e.state, e.started_us) for e in entries] == [
+    draining = b'{"Service":{"Address":"127.0.0.1","Port":8,"Meta":{}},"Checks":[{"Status":"critical"}]}'
+    invalid_port = b'{"Service":{"Address":"127.0.0.1","Port":0}}'
+    entries, rejected = parse_instances(
+        b"[" + b",".join([good, draining, invalid_port, b"5"]) + b"]", lambda ms: int(ms)
+    )
+    assert [(entry.worker, entry.state, entry.started_us) for entry in entries] == [
         ("127.0.0.1:9", State.READY, 2), ("127.0.0.1:8", State.DRAINING, 0)]  # fmt: skip
-    assert len(bad) == 2
-    for broken in (b"", b"{}", b"[", b"\xff"):
+    assert len(rejected) == 2
+    for malformed in (b"", b"{}", b"[", b"\xff"):
         with pytest.raises(SettingsError):
-            parse_instances(broken, int)
+            parse_instances(malformed, int)
 
 
 def test_an_amqp_broker_is_checked_as_a_whole():
@@ -165,11 +173,11 @@
 }
 amqp-broker "one" { address "h:1" }
 """
-    found = problems(text)
+    found = problems_of(text)
     assert 's.kdl:4: redelivered: expected one of known, never; got "always"' in found or any(
         "redelivered" in problem and problem.startswith("s.kdl:4") for problem in found
     )
-    for line, words in (
+    for line, expected in (
         (4, "'h' is not HOST:PORT"),
         (4, "prefetch-least is greater than prefetch-most"),
         (6, "queue q is not declared"),
@@ -178,27 +186,31 @@
         (9, "amqp-broker 'one' is given twice"),
         (9, "no queue"),
     ):
-        assert any(one.startswith(f"s.kdl:{line}:") and words in one for one in found), (line, words, found)
+        assert any(problem.startswith(f"s.kdl:{line}:") and expected in problem for problem in found), (
+            line,
+            expected,
+            found,
+        )
 
 
 def test_a_fleet_is_checked_with_what_it_divides():
-    """What could not be kept is refused: parts below one connection, held orders that are rationed."""
+    """Budgets below one connection a member and rate limits on delayed load orders are rejected."""
 
-    def text(fleet, workers="", place='list { servers "127.0.0.1:1" }'):
+    def text(fleet, workers="", source='list { servers "127.0.0.1:1" }'):
         members = "; ".join(f'member "gw-{n}" at="127.0.0.1:{9000 + n}"' for n in range(4))
         return (
             'name "gw-0"\nclass "a" wanted-ms=10 deadline-ms=50\nmqtt-listener\n'
-            f"workers {{ {place}; {workers} }}\nfleet {fleet[0]} {{ {members}; {fleet[1]} }}\n"
+            f"workers {{ {source}; {workers} }}\nfleet {fleet[0]} {{ {members}; {fleet[1]} }}\n"
         )
 
-    both = ("one-reader=true", 'budgets "cold" "connections"')
-    good = site.read(text(both, "worker-connections 8"), "s.kdl")
+    budgets = ("one-reader=true", 'budgets "cold" "connections"')
+    good = site.read(text(budgets, "worker-connections 8"), "s.kdl")
     assert good.fleet.one_reader and good.workers.worker_connections == 8
-    few = problems(text(("", 'budgets "connections"'), "worker-connections 7"))
-    assert few[0].startswith("s.kdl:4: workers")
-    assert "need each other" in problems(text(("", 'budgets "connections"')))[0]
-    assert "need each other" in problems(text(("", ""), "worker-connections 8"))[0]
-    assert "load-window-ms" in problems(text(("one-order=true", ""), "load-window-ms 1000"))[0]
-    assert "one-reader" in problems(text(("one-reader=true", ""), place='worker "127.0.0.1:9"'))[0]
-    alone = text(("", ""), "worker-connections 8").split("fleet")[0]
-    assert "s.kdl:4: worker-connections needs a fleet" in problems(alone)[0]
+    too_few = problems_of(text(("", 'budgets "connections"'), "worker-connections 7"))
+    assert too_few[0].startswith("s.kdl:4: workers")
+    assert "need each other" in problems_of(text(("", 'budgets "connections"')))[0]
+    assert "need each other" in problems_of(text(("", ""), "worker-connections 8"))[0]
+    assert "load-window-ms" in problems_of(text(("one-order=true", ""), "load-window-ms 1000"))[0]
+    assert "one-reader" in problems_of(text(("one-reader=true", ""), source='worker "127.0.0.1:9"'))[0]
+    without_fleet = text(("", ""), "worker-connections 8").split("fleet")[0]
+    assert "s.kdl:4: worker-connections needs a fleet" in problems_of(without_fleet)[0]
