--- a/swiftwell/cli/call.py
+++ b/swiftwell/cli/call.py
@@ -16,21 +16,23 @@
 from swiftwell.fronts.mqtt.codec import V5, V311, Publish
 from swiftwell.settings.site import host_port
 
-EXIT = {"served": 0, "refused": 3, "failed": 4}  # 5: no answer in time; 1: no connection
+EXIT_CODES = {"served": 0, "refused": 3, "failed": 4}  # also 5: no answer in time; 1: no connection
 
 
 @click.command()
 @click.argument("address")
 @click.argument("topic")
 @click.argument("payload", default="")
-@click.option("--key", default="", help="The publisher's key; one is drawn where none is given.")
-@click.option("--timeout-ms", default=2_500, show_default=True, help="Time until this client gives up.")
+@click.option("--key", default="", help="The publisher's key; random by default.")
+@click.option("--timeout-ms", default=2_500, show_default=True, help="Time until this client times out.")
 @click.option("--qos", type=click.IntRange(0, 2), default=1, show_default=True)
 @click.option("--version", type=click.Choice(["5.0", "3.1.1"]), default="5.0", show_default=True)
 @click.option("--user", default=None, help="NAME:PASSWORD")
 @click.option("--amqp", is_flag=True, help="ADDRESS is an AMQP broker; TOPIC becomes the routing key.")
-@click.option("--exchange", default="calls", show_default=True, help="With --amqp: where it is published.")
-@click.option("--priority", type=click.IntRange(0, 255), default=0, help="With --amqp: its priority.")
+@click.option("--exchange", default="calls", show_default=True, help="With --amqp: exchange to publish to.")
+@click.option(
+    "--priority", type=click.IntRange(0, 255), default=0, help="With --amqp: priority of the message."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the answer as one JSON object.")
 def call(
     address: str, topic: str, payload: str, key: str, timeout_ms: int, qos: int, version: str,
@@ -48,20 +50,20 @@
         raise click.BadParameter(str(error), param_hint="ADDRESS") from None
     level = V5 if version == "5.0" else V311
     key = key or uuid.uuid4().hex
-    told = asyncio.run(
+    answer = asyncio.run(
         _over_amqp(host, port, topic, payload, key, timeout_ms, user, exchange, priority)
         if amqp
         else _call(host, port, topic, payload, key, timeout_ms, qos, level, user)
     )
-    code = told.pop("code")
+    code = answer.pop("code")
     if as_json:
-        click.echo(msgspec.json.encode(told).decode())
+        click.echo(msgspec.json.encode(answer).decode())
     else:
         click.echo(
-            f"{told['status']}" + (f" ({told['reason']})" if told.get("reason") else ""), err=code != 0
+            f"{answer['status']}" + (f" ({answer['reason']})" if answer.get("reason") else ""), err=code != 0
         )
-        if told.get("body"):
-            click.echo(told["body"])
+        if answer.get("body"):
+            click.echo(answer["body"])
     sys.exit(code)
 
 
@@ -70,33 +72,35 @@
     user: str | None,
 ) -> dict:  # fmt: skip
     answer: asyncio.Future[dict] = asyncio.get_running_loop().create_future()
-    name = f"call-{uuid.uuid4().hex[:12]}"
-    reply = f"answers/{name}"
+    client_id = f"call-{uuid.uuid4().hex[:12]}"
+    reply = f"answers/{client_id}"
 
-    def message(packet: Publish) -> None:
+    def on_message(packet: Publish) -> None:
         if answer.done():
             return
         if version == V311:
-            told = msgspec.json.decode(packet.payload, type=dict)
-            answer.set_result({k: told.get(k) for k in ("status", "reason", "worker", "body", "wait_ms")})
+            message = msgspec.json.decode(packet.payload, type=dict)
+            answer.set_result(
+                {name: message.get(name) for name in ("status", "reason", "worker", "body", "wait_ms")}
+            )
         else:
-            found = dict(packet.properties.get("user", []))
-            found["body"] = packet.payload.decode(errors="replace")
-            answer.set_result(found)
+            fields = dict(packet.properties.get("user", []))
+            fields["body"] = packet.payload.decode(errors="replace")
+            answer.set_result(fields)
 
-    def acked(_: int, reason: int) -> None:
+    def on_ack(_: int, reason: int) -> None:
         if reason >= 0x80 and not answer.done():
-            loop = asyncio.get_running_loop()  # an answer with more to say may be right behind it
+            loop = asyncio.get_running_loop()  # an answer with more detail may follow at once
             loop.call_later(0.1, lambda: answer.done() or answer.set_result(
                 {"status": "refused", "reason": f"reason code {reason:#x}"}))  # fmt: skip
 
-    def ended(why: str) -> None:
+    def on_end(reason: str) -> None:
         if not answer.done():
-            answer.set_result({"status": "no answer", "reason": why, "code": 1})
+            answer.set_result({"status": "no answer", "reason": reason, "code": 1})
 
     username, _, password = (user or "").partition(":")
     client = Client(
-        name, version, on_message=message, on_ack=acked, on_end=ended,
+        client_id, version, on_message=on_message, on_ack=on_ack, on_end=on_end,
         username=username or None, password=password if user else None,
     )  # fmt: skip
     try:
@@ -121,13 +125,13 @@
         }
         client.publish(Publish(topic, payload.encode(), qos, properties=properties))
     try:
-        told = await asyncio.wait_for(answer, timeout_ms / 1e3)
+        result = await asyncio.wait_for(answer, timeout_ms / 1e3)
     except TimeoutError:
-        told = {"status": "no answer", "reason": f"nothing within {timeout_ms} ms", "code": 5}
+        result = {"status": "no answer", "reason": f"nothing within {timeout_ms} ms", "code": 5}
     client._on_end = None
     await client.close()
-    told.setdefault("code", EXIT.get(str(told.get("status")), 1))
-    return told
+    result.setdefault("code", EXIT_CODES.get(str(result.get("status")), 1))
+    return result
 
 
 async def _over_amqp(
@@ -136,23 +140,29 @@
 ) -> dict:  # fmt: skip
     answer: asyncio.Future[dict] = asyncio.get_running_loop().create_future()
 
-    def settle(told: dict) -> None:
+    def settle(result: dict) -> None:
         if not answer.done():
-            answer.set_result(told)
+            answer.set_result(result)
 
-    def message(event: Incoming) -> None:
+    def on_message(event: Incoming) -> None:
         headers = (event.properties.headers if event.properties else None) or {}
-        told = {name: value for name, value in headers.items() if name != "key"}
-        settle(told | {"body": event.body.decode(errors="replace")})
-
-    def returned(event: Incoming) -> None:
-        settle({"status": "no answer", "reason": "no queue takes it: is a gateway bound to it?", "code": 1})
+        result = {name: value for name, value in headers.items() if name != "key"}
+        settle(result | {"body": event.body.decode(errors="replace")})
+
+    def on_return(event: Incoming) -> None:
+        settle(
+            {
+                "status": "no answer",
+                "reason": "no queue takes it: is a gateway bound to the exchange?",
+                "code": 1,
+            }
+        )
 
-    name, _, password = (user or "guest:guest").partition(":")
+    username, _, password = (user or "guest:guest").partition(":")
     client = amqp_client.Client(
-        f"call-{uuid.uuid4().hex[:12]}", on_message=message, on_return=returned,
-        on_end=lambda why: settle({"status": "no answer", "reason": why, "code": 1}),
-        username=name, password=password,
+        f"call-{uuid.uuid4().hex[:12]}", on_message=on_message, on_return=on_return,
+        on_end=lambda reason: settle({"status": "no answer", "reason": reason, "code": 1}),
+        username=username, password=password,
     )  # fmt: skip
     try:
         await client.connect(host, port)
@@ -163,10 +173,10 @@
     properties.priority = priority
     client.publish(exchange, topic.replace("/", "."), properties, payload.encode())
     try:
-        told = await asyncio.wait_for(answer, timeout_ms / 1e3)
+        result = await asyncio.wait_for(answer, timeout_ms / 1e3)
     except TimeoutError:
-        told = {"status": "no answer", "reason": f"nothing within {timeout_ms} ms", "code": 5}
+        result = {"status": "no answer", "reason": f"nothing within {timeout_ms} ms", "code": 5}
     client._on_end = None
     await client.close()
-    told.setdefault("code", EXIT.get(str(told.get("status")), 1))
-    return told
+    result.setdefault("code", EXIT_CODES.get(str(result.get("status")), 1))
+    return result
