--- a/swiftwell/cli/standin.py
+++ b/swiftwell/cli/standin.py
@@ -1,8 +1,7 @@
-"""`swiftwell standin`: the stand-ins as programs of their own.
+"""`swiftwell standin`: runs each stand-in as a program of its own.
 
-Each says one JSON line when it is ready, takes orders on standard input (docs/proof.md), and ends with
-SIGTERM or when its
-input ends and `--with-input` is given.
+Each prints one JSON line when it is ready, takes commands on standard input (docs/proof.md), and ends on
+SIGTERM, or when its input ends if `--with-input` is given.
 """
 
 from __future__ import annotations
@@ -23,18 +22,18 @@
 
 @click.group()
 def standin() -> None:
-    """Stand-ins of what surrounds a gateway: broker, worker, store, list, fleet, publishers."""
+    """Run a stand-in for what surrounds a gateway: broker, worker, store, list, fleet, publishers."""
 
 
-async def _until_told(controls: Controls) -> None:
-    """Take orders until SIGTERM or SIGINT."""
-    ended = asyncio.Event()
+async def _serve_until_signal(controls: Controls) -> None:
+    """Executes commands from standard input until SIGTERM or SIGINT."""
+    stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    orders = asyncio.ensure_future(controls.listen())
-    await ended.wait()
-    orders.cancel()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
+    commands = asyncio.ensure_future(controls.listen())
+    await stopped.wait()
+    commands.cancel()
 
 
 def _trace(folder: Path | None, name: str) -> Trace:
@@ -59,7 +58,7 @@
     async def run() -> None:
         server = Broker(_trace(trace, "broker"))
         say({"port": server.start(port)})
-        await _until_told(Controls({"fault": server.fault}))
+        await _serve_until_signal(Controls({"fault": server.fault}))
 
     _run(run)
 
@@ -67,7 +66,9 @@
 @standin.command()
 @_PORT
 @_TRACE
-@click.option("--heartbeat-s", default=60, show_default=True, help="Heartbeat that it asks for.")
+@click.option(
+    "--heartbeat-s", default=60, show_default=True, help="Heartbeat interval that it requests, in s."
+)
 def amqp(port: int, trace: Path | None, heartbeat_s: int) -> None:
     """An AMQP 0-9-1 broker."""
     from swiftwell.standins.amqp import AmqpBroker
@@ -75,7 +76,7 @@
     async def run() -> None:
         server = AmqpBroker(_trace(trace, "amqp"), heartbeat_s=heartbeat_s)
         say({"port": server.start(port)})
-        await _until_told(Controls({"fault": server.fault}))
+        await _serve_until_signal(Controls({"fault": server.fault}))
 
     _run(run)
 
@@ -86,8 +87,8 @@
 @click.option("--cores", default=4.0, show_default=True)
 @click.option("--speed", default=1.0, show_default=True)
 @click.option("--memory-mb", default=8_000.0, show_default=True)
-@click.option("--work-ms", default=60.0, show_default=True, help="Work of a call, on average.")
-@click.option("--store", default="", help="HOST:PORT of the model store; without it loads fetch nothing.")
+@click.option("--work-ms", default=60.0, show_default=True, help="Mean work of a call.")
+@click.option("--store", default="", help="HOST:PORT of the model store; without it, loads fetch nothing.")
 def worker(
     port: int, trace: Path | None, cores: float, speed: float, memory_mb: float, work_ms: float, store: str
 ) -> None:
@@ -99,7 +100,7 @@
         machine = Machine(cores, speed, memory_mb)
         server = Worker(_trace(trace, "worker"), machine, 1, {"": work_ms * 1e3}, store)
         say({"port": server.start(port)})
-        await _until_told(Controls({"fault": server.fault, "die": server.die, "drain": server.drain}))
+        await _serve_until_signal(Controls({"fault": server.fault, "die": server.die, "drain": server.drain}))
 
     _run(run)
 
@@ -108,8 +109,8 @@
 @_PORT
 @_TRACE
 @click.option("--fetch-ms", default=200.0, show_default=True)
-@click.option("--room", default=12, show_default=True, help="Fetches served at full pace.")
-@click.option("--most", default=64, show_default=True, help="Fetches past which it refuses.")
+@click.option("--room", default=12, show_default=True, help="Concurrent fetches served at full rate.")
+@click.option("--most", default=64, show_default=True, help="Concurrent fetches above which it refuses.")
 def store(port: int, trace: Path | None, fetch_ms: float, room: int, most: int) -> None:
     """The model store."""
     from swiftwell.standins.store import Store
@@ -117,7 +118,7 @@
     async def run() -> None:
         server = Store(_trace(trace, "store"), fetch_ms / 1e3, room, most)
         say({"port": server.start(port)})
-        await _until_told(Controls({"fault": server.fault}))
+        await _serve_until_signal(Controls({"fault": server.fault}))
 
     _run(run)
 
@@ -125,18 +126,18 @@
 @standin.command(name="list")
 @_PORT
 @_TRACE
-@click.option("--late-ms", default=700, show_default=True, help="Time by which it is late.")
-@click.option("--worker", "workers", multiple=True, help="HOST:PORT of a worker that runs.")
+@click.option("--late-ms", default=700, show_default=True, help="Delay in ms until the list shows a change.")
+@click.option("--worker", "workers", multiple=True, help="HOST:PORT of a running worker.")
 def list_(port: int, trace: Path | None, late_ms: int, workers: tuple[str, ...]) -> None:
-    """The list of workers, as a service."""
+    """The service that lists the workers."""
     from swiftwell.standins.listing import Listing
 
     async def run() -> None:
         server = Listing(_trace(trace, "list"), late_ms / 1e3)
-        for one in workers:
-            server.put(one, now=True, started_ms=0)
+        for address in workers:
+            server.put(address, now=True, started_ms=0)
         say({"port": server.start(port)})
-        await _until_told(Controls({"fault": server.fault, "put": server.put}))
+        await _serve_until_signal(Controls({"fault": server.fault, "put": server.put}))
 
     _run(run)
 
@@ -149,10 +150,12 @@
     from swiftwell.standins.fleet import Fleet
 
     async def run() -> None:
-        told = msgspec.json.decode(plan.read_bytes())
-        fleet = Fleet(_trace(trace, "fleet"), _day(told), told["seed"], told["scale"])
+        plan_content = msgspec.json.decode(plan.read_bytes())
+        fleet = Fleet(
+            _trace(trace, "fleet"), _decode_day(plan_content), plan_content["seed"], plan_content["scale"]
+        )
         say(fleet.start())
-        await _until_told(Controls(fleet.commands()))
+        await _serve_until_signal(Controls(fleet.commands()))
 
     _run(run)
 
@@ -162,22 +165,28 @@
 @click.option("--plan", type=click.Path(path_type=Path, exists=True), required=True, help="A day's plan.")
 @click.option("--addresses", type=click.Path(path_type=Path, exists=True), required=True)
 def publishers(trace: Path | None, plan: Path, addresses: Path) -> None:
-    """All publishers of a day; ends when each try has ended."""
+    """All publishers of a day; exits once each attempt to publish has ended."""
     from swiftwell.standins.fleet import crowds
 
     async def run() -> None:
-        told = msgspec.json.decode(plan.read_bytes())
-        at = msgspec.json.decode(addresses.read_bytes(), type=dict[str, list[str]])
-        found = crowds(_trace(trace, "publishers"), _day(told), told["seed"], told["scale"], at)
-        say({"ready": len(found)})
-        await asyncio.gather(*(crowd.run() for crowd in found))
+        plan_content = msgspec.json.decode(plan.read_bytes())
+        address_lists = msgspec.json.decode(addresses.read_bytes(), type=dict[str, list[str]])
+        crowds_of_day = crowds(
+            _trace(trace, "publishers"),
+            _decode_day(plan_content),
+            plan_content["seed"],
+            plan_content["scale"],
+            address_lists,
+        )
+        say({"ready": len(crowds_of_day)})
+        await asyncio.gather(*(crowd.run() for crowd in crowds_of_day))
         say({"ended": True})
 
     _run(run)
     sys.exit(0)
 
 
-def _day(told: dict[str, Any]) -> Any:
+def _decode_day(plan_content: dict[str, Any]) -> Any:
     from swiftwell.proof.days import Day
 
-    return msgspec.convert(told["day"], Day)
+    return msgspec.convert(plan_content["day"], Day)
