--- a/swiftwell/cli/scale.py
+++ b/swiftwell/cli/scale.py
@@ -1,4 +1,4 @@
-"""`swiftwell scale`: runs at sizes up to the target, and the page that they fill."""
+"""`swiftwell scale`: measures runs at sizes up to the target and fills the capacity page with them."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @click.group()
 def scale() -> None:
-    """Scale runs: the shipped code with hollow ends, and docs/CAPACITY.md."""
+    """Run scale tests of the shipped code against minimal peers, and fill docs/CAPACITY.md."""
 
 
 @scale.command()
 @click.argument("what")
 @click.argument("factors", nargs=-1, metavar="[FACTOR=SIZE]...")
 @click.option("--file", type=click.Path(path_type=Path, dir_okay=False), default=RESULTS, show_default=True)
-@click.option("--build", default="after", show_default=True, help="A name for the build that is run.")
-@click.option("--root", default=".", show_default=True, help="The checkout that routers run from.")
+@click.option("--build", default="after", show_default=True, help="Name of the build that is run.")
+@click.option("--root", default=".", show_default=True, help="Checkout that routers run from.")
 def run(what: str, factors: tuple[str, ...], file: Path, build: str, root: str) -> None:
     """Play a plan (small, routing, membership, list) or one case of a kind with its factors.
 
-    Rows that FILE holds already are passed over.  For example:
+    Cases whose rows FILE already has are skipped.  For example:
     swiftwell scale run routing workers=4000 changes_per_s=10
     """
     from swiftwell.scale import cases, results, runner, slopes
@@ -40,29 +40,29 @@
         plan = [_case(what, factors)] if factors or what not in cases.PLANS else cases.PLANS[what]()
         if not (Path(root) / "swiftwell" / "scale").is_dir():
             _fail(f"--root: {root}: expected a checkout of the program")
-        played = runner.play_all(plan, file, build, root, _say, slopes.predict)
+        run_count = runner.play_all(plan, file, build, root, _print_row, slopes.predict)
     except (cases.CaseError, results.ResultsError, OSError) as error:
         _fail(error)
-    click.echo(f"{played} of {len(plan)} cases played, rows in {file}", err=True)
+    click.echo(f"{run_count} of {len(plan)} cases run, rows in {file}", err=True)
 
 
 def _case(kind: str, factors: tuple[str, ...]):
     from swiftwell.scale import cases
 
-    given: dict[str, object] = {}
+    sizes: dict[str, object] = {}
     for factor in factors:
-        name, sign, value = factor.partition("=")
-        if not sign:
+        name, separator, value = factor.partition("=")
+        if not separator:
             raise cases.CaseError(f"{factor!r}: expected FACTOR=SIZE")
-        given[name] = value
+        sizes[name] = value
     if kind not in cases.KINDS:
         raise cases.CaseError(
             f"{kind!r}: expected one of {', '.join(dict.fromkeys([*cases.PLANS, *cases.KINDS]))}"
         )
-    return cases.make(kind, given)
+    return cases.make(kind, sizes)
 
 
-def _say(row) -> None:
+def _print_row(row) -> None:
     import json
 
     click.echo(f"{row.key} {json.dumps(row.values)}")
@@ -72,16 +72,16 @@
 @click.option("--file", type=click.Path(path_type=Path, dir_okay=False), default=RESULTS, show_default=True)
 @click.option("--page", type=click.Path(path_type=Path, dir_okay=False), default=PAGE, show_default=True)
 @click.option("--plot", type=click.Path(path_type=Path, dir_okay=False), default=PLOT, show_default=True)
-@click.option("--check", is_flag=True, help="Write nothing; exit 1 where the page and the rows disagree.")
+@click.option("--check", is_flag=True, help="Write nothing; exit 1 if the page and the rows differ.")
 def report(file: Path, page: Path, plot: Path, check: bool) -> None:
-    """Fill the tables of PAGE from the rows of FILE, and draw the slopes."""
+    """Fill the tables of PAGE from the rows of FILE, and plot the slopes."""
     from swiftwell.scale import report as tables
     from swiftwell.scale import results
 
     try:
         rows = results.read(file)
         if not rows:
-            _fail(f"{file}: no rows; `swiftwell scale run` makes them")
+            _fail(f"{file}: no rows; expected rows written by `swiftwell scale run`")
         if check:
             text = page.read_text(encoding="utf-8")
             sys.exit(0 if tables.fill(text, rows) == text else 1)
@@ -91,4 +91,4 @@
     from swiftwell.scale import plots
 
     plots.draw(rows, plot)
-    click.echo(f"{page}: {'filled anew' if changed else 'as it was'}; {plot}", err=True)
+    click.echo(f"{page}: {'updated' if changed else 'unchanged'}; {plot}", err=True)
