--- a/swiftwell/cli/lab.py
+++ b/swiftwell/cli/lab.py
@@ -1,4 +1,4 @@
-"""`swiftwell lab`: days in virtual time, and experiments on them."""
+"""`swiftwell lab`: plays days in virtual time and runs experiments on them."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from rich.console import Console
 
 from swiftwell.cli.day import table
-from swiftwell.cli.reading import or_exit
+from swiftwell.cli.reading import load_or_exit
 from swiftwell.proof import days
 
 
 @click.group()
 def lab() -> None:
-    """The emulator of all that gateways serve, around the real engine."""
+    """Emulate everything around gateways, with the real engine in virtual time."""
 
 
 @lab.command()
 @click.argument("name")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--scale", default=1.0, show_default=True, help="Times the day's rates and workers.")
-@click.option("--gateways", default=0, help="So many gateways instead of the day's.")
+@click.option("--scale", default=1.0, show_default=True, help="Factor on the day's rates and workers.")
+@click.option("--gateways", default=0, help="Number of gateways; by default the day's.")
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as one JSON object.")
 @click.option("--events", type=click.Path(path_type=Path), help="File for all events, as JSON lines.")
 def run(name: str, seed: int, scale: float, gateways: int, as_json: bool, events: Path | None) -> None:
-    """Play the day NAME (or a path to a .kdl file) in virtual time; exit 0 only if every rule held."""
+    """Play the day NAME (or a path to a .kdl file) in virtual time; exit 0 only if all rules were kept."""
     from dataclasses import replace
 
     from swiftwell.lab.emulator import Emulation
@@ -36,81 +36,83 @@
     if gateways:
         day = replace(day, gateways=gateways)
     emulation = Emulation(title, day, seed, scale)
-    told = emulation.run()
+    verdict = emulation.run()
     if events:
-        events.write_bytes(b"".join(msgspec.json.encode(one) + b"\n" for one in emulation.world.events))
+        events.write_bytes(b"".join(msgspec.json.encode(event) + b"\n" for event in emulation.world.events))
     if as_json:
-        click.echo(msgspec.json.encode(told).decode())
+        click.echo(msgspec.json.encode(verdict).decode())
     else:
-        Console().print(table(told))
-        for text in told["breaches"]:
+        Console().print(table(verdict))
+        for text in verdict["breaches"]:
             click.echo(text, err=True)
         click.echo(
-            f"{told['calls']} calls in {emulation.spent_s:.1f} s: "
-            f"{told['calls'] / emulation.spent_s:.0f} calls a second, {emulation.world.happened} events",
+            f"{verdict['calls']} calls in {emulation.spent_s:.1f} s: "
+            f"{verdict['calls'] / emulation.spent_s:.0f} calls a second, {emulation.world.happened} events",
             err=True,
         )
-    sys.exit(0 if told["rules_kept"] else 1)
+    sys.exit(0 if verdict["rules_kept"] else 1)
 
 
 def load(name: str) -> tuple[str, days.Day]:
-    """A day by its name or path; ends the command where it can't be read."""
-    return or_exit(lambda: days.load(name))
+    """Loads a day by its name or path; exits if it can't be read."""
+    return load_or_exit(lambda: days.load(name))
 
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder for cells and results.")
-@click.option("--processes", default=0, help="So many at a time; 0 is one for each core.")
-@click.option("--figure", default="service", show_default=True, help="Column that is compared.")
+@click.option("--processes", default=0, help="Number of parallel processes; 0 for one per core.")
+@click.option("--figure", default="service", show_default=True, help="Result column to compare.")
 def compare(file: Path, out: Path, processes: int, figure: str) -> None:
-    """Play the experiment in FILE; one that was killed goes on where it was.  Prints differences in pairs."""
+    """Play the experiment in FILE, or resume an interrupted one, and print paired differences."""
     from rich.progress import Progress
 
     from swiftwell.lab import experiment as ex
     from swiftwell.lab import stats
 
-    found = _experiment(file)
+    spec = _experiment(file)
     with Progress(console=Console(stderr=True)) as bar:
         task = bar.add_task(file.stem, total=None)
-        rows = ex.run(found, out, processes, lambda done, of: bar.update(task, completed=done, total=of))
+        rows = ex.run(spec, out, processes, lambda done, total: bar.update(task, completed=done, total=total))
     if figure not in stats.FIGURES:
         raise click.BadParameter(f"known: {', '.join(stats.FIGURES)}", param_hint="--figure")
-    base = found.designs[0]
+    base = spec.designs[0]
     means = stats.means(rows, figure)
-    against = stats.differences(rows, figure, base)
-    for (where, design), one in means.items():
-        text = f"{stats.named(where):44} {design:16} {one.mean:.4f} ({one.low:.4f} to {one.high:.4f})"
-        if other := against.get((where, design)):
-            text += f"  {other.mean:+.4f} ({other.low:+.4f} to {other.high:+.4f}) against {base}"
+    paired = stats.differences(rows, figure, base)
+    for (factors, design), mean in means.items():
+        text = f"{stats.named(factors):44} {design:16} {mean.mean:.4f} ({mean.low:.4f} to {mean.high:.4f})"
+        if difference := paired.get((factors, design)):
+            text += (
+                f"  {difference.mean:+.4f} ({difference.low:+.4f} to {difference.high:+.4f}) against {base}"
+            )
         click.echo(text)
     broken = {(row["design"], row["day"]) for row in rows if row["rules_broken"]}
     for design, day in sorted(broken):
-        click.echo(f"{design} breaks a rule on {day}: its figures count for nothing", err=True)
+        click.echo(f"{design} breaks a rule on {day}: its results are invalid", err=True)
     sys.exit(1 if any(design == "module" for design, _ in broken) else 0)
 
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder of `lab compare`.")
+@click.option("--out", type=click.Path(path_type=Path), required=True, help="Output folder of `lab compare`.")
 def report(file: Path, out: Path) -> None:
     """Write OUT/report.html for the experiment in FILE, once it has been played."""
     from swiftwell.lab import experiment as ex
     from swiftwell.lab import report as pages
     from swiftwell.lab.emulator import Emulation
 
-    found = _experiment(file)
-    rows = ex.run(found, out, 0)
+    spec = _experiment(file)
+    rows = ex.run(spec, out, 0)
     lines = []
-    for name in found.days:
+    for name in spec.days:
         emulation = Emulation(*days.load(name), seed=1)
         emulation.run()
         lines.append(pages.timeline(emulation.world.events, f"{emulation.name}, seed 1, the module"))
-    pages.write(out / "report.html", file.stem, found, rows, lines)
+    pages.write(out / "report.html", file.stem, spec, rows, lines)
     click.echo(str(out / "report.html"))
 
 
 def _experiment(file: Path):  # type: ignore[no-untyped-def]
     from swiftwell.lab import experiment as ex
 
-    return or_exit(lambda: ex.load(file))
+    return load_or_exit(lambda: ex.load(file))
--- a/swiftwell/cli/main.py
+++ b/swiftwell/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands."""
+"""The `swiftwell` command and its subcommands that run and check a gateway."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 import msgspec
 import uvloop
 
-from swiftwell.cli.reading import or_exit
+from swiftwell.cli.reading import load_or_exit
 from swiftwell.settings.schema import reference
 from swiftwell.settings.site import Site, load
 
-ELSEWHERE = {  # command: module and name; loaded when it is used, as all of them take three times a start
+# Command: module and attribute.  Imported on use, as importing all of them triples the start-up time.
+LAZY_COMMANDS = {
     "call": ("swiftwell.cli.call", "call"),
     "day": ("swiftwell.cli.day", "day"),
     "demo": ("swiftwell.cli.day", "demo"),
@@ -31,34 +32,36 @@
 }
 
 
-class Lazy(click.Group):
-    """A group whose commands stand in modules of their own."""
+class LazyGroup(click.Group):
+    """A command group that imports the modules of LAZY_COMMANDS on use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All of them."""
-        return sorted([*super().list_commands(ctx), *ELSEWHERE])
+        """Lists the names of all commands."""
+        return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """One, loaded now."""
-        if name in ELSEWHERE:
-            module, found = ELSEWHERE[name]
-            return getattr(importlib.import_module(module), found)
+        """Returns a command, importing its module if needed."""
+        if name in LAZY_COMMANDS:
+            module, attribute = LAZY_COMMANDS[name]
+            return getattr(importlib.import_module(module), attribute)
         return super().get_command(ctx, name)
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """swiftwell: a gateway that runs calls on workers which load functions or models on demand."""
 
 
 @main.command()
 @click.argument("site", type=click.Path(path_type=Path))
-@click.option("--ready", is_flag=True, help="Say on standard output, in one JSON line, where it serves.")
-@click.option("--take-over", is_flag=True, help="Take over from the gateway that runs on this state folder.")
+@click.option("--ready", is_flag=True, help="Print its ports and process id as one JSON line once it serves.")
+@click.option(
+    "--take-over", is_flag=True, help="Take over from the gateway that is running on this state folder."
+)
 def serve(site: Path, ready: bool, take_over: bool) -> None:
     """Run the gateway that SITE describes, until SIGTERM or SIGINT; SIGUSR2 starts its successor.
 
-    With --take-over the exit code is 3 where the running gateway carries on instead.
+    With --take-over the exit code is 3 if the running gateway continues instead.
     """
     from swiftwell.gateway.journal import JournalError
     from swiftwell.gateway.logs import Logs
@@ -86,10 +89,10 @@
             logs.write("error", "no-start", error=str(error))
             return 1
         gateway.on_signals([sys.executable, "-m", "swiftwell", "serve", str(site), "--take-over"])
-        told = {"name": settings.name, "listener": gateway.listener_port, "health": gateway.health_port}
-        logs.write("info", "serving", **told)
+        serving = {"name": settings.name, "listener": gateway.listener_port, "health": gateway.health_port}
+        logs.write("info", "serving", **serving)
         if ready:
-            click.echo(msgspec.json.encode(told | {"pid": os.getpid()}).decode())
+            click.echo(msgspec.json.encode(serving | {"pid": os.getpid()}).decode())
             sys.stdout.flush()
         await gateway.ended.wait()
         return 0
@@ -99,37 +102,37 @@
 
 @main.command()
 @click.argument("site", type=click.Path(path_type=Path))
-@click.option("--log", type=click.Path(path_type=Path), help="File that the new gateway's log is added to.")
-@click.option("--within", default=30.0, show_default=True, help="Seconds for the whole of it.")
-def upgrade(site: Path, log: Path | None, within: float) -> None:
-    """Start a new gateway for SITE that takes over from the running one, and follow it.
+@click.option("--log", type=click.Path(path_type=Path), help="File to append the new gateway's log to.")
+@click.option("--within", "timeout_s", default=30.0, show_default=True, help="Seconds for the whole upgrade.")
+def upgrade(site: Path, log: Path | None, timeout_s: float) -> None:
+    """Start a new gateway for SITE that takes over from the running one, and wait until it serves.
 
-    The exit code is 0 where the new one serves, 3 where the old one carries on, 2 where the settings are
-    wrong, 1 where no gateway runs.
+    The exit code is 0 if the new gateway serves, 3 if the old one continues, 2 if the settings are invalid
+    and 1 if no gateway is running.
     """
     settings = _load(site)
     from swiftwell.handover import new
 
     channel = new.connect(settings.state)
     if channel is None:
-        click.echo(f"{settings.state}: no gateway runs there; use `swiftwell serve`", err=True)
+        click.echo(f"{settings.state}: no gateway is running there; use `swiftwell serve`", err=True)
         sys.exit(1)
     channel.close()
-    click.echo(f"{site}: settings are good; starting the new gateway")
-    words = [sys.executable, "-m", "swiftwell", "serve", str(site), "--take-over", "--ready"]
-    with open(log, "ab") if log else contextlib.nullcontext() as err:
-        process = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=err, start_new_session=True)
+    click.echo(f"{site}: settings are valid; starting the new gateway")
+    command = [sys.executable, "-m", "swiftwell", "serve", str(site), "--take-over", "--ready"]
+    with open(log, "ab") if log else contextlib.nullcontext() as log_file:
+        process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log_file, start_new_session=True)
     assert process.stdout
-    readable, _, _ = select.select([process.stdout], [], [], within)
+    readable, _, _ = select.select([process.stdout], [], [], timeout_s)
     line = process.stdout.readline() if readable else b""
     if line:
-        told = msgspec.json.decode(line, type=dict)
-        click.echo(f"the new gateway serves: process {told['pid']}, listener {told['listener']}")
+        serving = msgspec.json.decode(line, type=dict)
+        click.echo(f"the new gateway serves: process {serving['pid']}, listener {serving['listener']}")
         sys.exit(0)
     if not readable:
         process.kill()
     code = process.wait()
-    click.echo(f"the new gateway ended ({code}); the old one carries on", err=True)
+    click.echo(f"the new gateway exited with code {code}; the old one continues", err=True)
     sys.exit(3)
 
 
@@ -137,17 +140,19 @@
 @click.argument("site", type=click.Path(path_type=Path), required=False)
 @click.option("--fields", is_flag=True, help="List every setting with its unit, bounds and default.")
 def check(site: Path | None, fields: bool) -> None:
-    """Check the settings in SITE: all errors at once, each with file, line and what was expected."""
+    """Check the settings in SITE and print all errors, each with file, line and what was expected."""
     if fields:
         click.echo("\n".join(reference(Site)))
         return
     if site is None:
         raise click.UsageError("SITE is missing (or give --fields)")
-    found = _load(site)
-    fronts = (["mqtt-listener"] if found.listener else []) + [f"mqtt-broker {b.name}" for b in found.brokers]
-    fronts += [f"amqp-broker {b.name}" for b in found.amqp]
-    click.echo(f"{site}: good; {found.name}, {len(found.classes)} classes, {', '.join(fronts)}")
+    settings = _load(site)
+    fronts = (["mqtt-listener"] if settings.listener else []) + [
+        f"mqtt-broker {broker.name}" for broker in settings.brokers
+    ]
+    fronts += [f"amqp-broker {broker.name}" for broker in settings.amqp]
+    click.echo(f"{site}: valid; {settings.name}, {len(settings.classes)} classes, {', '.join(fronts)}")
 
 
 def _load(site: Path) -> Site:
-    return or_exit(lambda: load(site), site)
+    return load_or_exit(lambda: load(site), site)
--- a/swiftwell/cli/reading.py
+++ b/swiftwell/cli/reading.py
@@ -1,4 +1,4 @@
-"""Settings for a command: read, or every problem said and the command ended with 2."""
+"""Loads documents for commands and reports their problems."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 T = TypeVar("T")
 
 
-def or_exit(read: Callable[[], T], file: Path | None = None) -> T:
-    """What `read` gives; `file` is named with the number of its problems."""
+def load_or_exit(read: Callable[[], T], file: Path | None = None) -> T:
+    """Returns what `read` returns.
+
+    On invalid settings, prints each problem, then `file` with their number if given, and exits with code 2.
+    """
     try:
         return read()
     except SettingsError as error:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -31,7 +31,7 @@
     ]
     assert settings.classes[2].effect.value == "at_most_once" and settings.cold_us == 17_000_000
     result = CliRunner().invoke(main, ["check", str(EXAMPLE)])
-    assert result.exit_code == 0 and "good" in result.output
+    assert result.exit_code == 0 and ": valid; " in result.output
 
 
 def test_all_errors_come_at_once_each_with_its_line():
