--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Hypothesis draws the same examples in every run; tests that are known to fail are told, and are strict.
+"""Makes Hypothesis draw the same examples in every run, and marks tests that are known to fail.
 
-KNOWN-RED.txt at the root names tests that fail for a real fault which could not be mended yet, one line
-each: `TEST | CAUSE | ISSUE`.  The run passes over just these and prints them; one that passes fails the run
-until its line goes.
+KNOWN-RED.txt at the root names tests that fail because of a real fault that can't be fixed yet, one line
+each: `TEST | CAUSE | ISSUE`.  A run expects exactly these to fail and prints them.  One that passes fails the
+run until its line is removed.
 """
 
 from pathlib import Path
@@ -14,12 +14,12 @@
 settings.load_profile("same")
 
 FILE = "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3  # lines: more failures than that are no exceptions any more
+MAX_KNOWN_RED = 3  # lines; more known failures than that are no longer exceptions
 EXPECTED = "TEST | CAUSE | ISSUE, a number"
 
 
 def known_red(text: str) -> dict[str, str]:
-    """Test: the line that names it.  Raises ValueError with the place and what was expected there."""
+    """Maps each test to the line that names it; raises ValueError with the line and what was expected."""
     found: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split("|")]
@@ -27,8 +27,8 @@
             raise ValueError(f"{FILE}:{number}: expected {EXPECTED}")
         if parts[0] in found:
             raise ValueError(f"{FILE}:{number}: expected each test once")
-        if len(found) == MOST_KNOWN_RED:
-            raise ValueError(f"{FILE}:{number}: expected {MOST_KNOWN_RED} lines at most")
+        if len(found) == MAX_KNOWN_RED:
+            raise ValueError(f"{FILE}:{number}: expected {MAX_KNOWN_RED} lines at most")
         found[parts[0]] = line
     return found
 
@@ -42,13 +42,13 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    left = set(config.known_red)
+    missing = set(config.known_red)
     for item in items:
         if item.nodeid in config.known_red:
-            left.discard(item.nodeid)
+            missing.discard(item.nodeid)
             item.add_marker(pytest.mark.xfail(reason=config.known_red[item.nodeid], strict=True))
-    if left and config.args_source.name != "ARGS":  # a run of all tests must know each of them
-        pytest.exit(f"{FILE}: expected tests that exist, found {', '.join(sorted(left))}", returncode=2)
+    if missing and config.args_source.name != "ARGS":  # only a run of all tests collects each of them
+        pytest.exit(f"{FILE}: expected tests that exist, found {', '.join(sorted(missing))}", returncode=2)
 
 
 def pytest_terminal_summary(terminalreporter: object, config: pytest.Config) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: strict, short, and of no use to hide anything else."""
+"""Tests that the list of known failures is strict and short, and can't hide another failure."""
 
 import subprocess
 import sys
@@ -29,16 +29,16 @@
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = test_it.py\n")
     (tmp_path / "test_it.py").write_text("def test_red():\n    assert False\n\ndef test_green():\n    pass\n")
 
-    def played(line):
-        (tmp_path / FILE).write_text(line)
-        words = [sys.executable, "-B", "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-        return subprocess.run(words, cwd=tmp_path, capture_output=True, text=True, timeout=60)
-
-    done = played("test_it.py::test_red | a planted one | 34\n")
-    assert done.returncode == 0 and "known red: test_it.py::test_red | a planted one | 34" in done.stdout
-    assert played("").returncode == 1
-    assert played("test_it.py::test_red | c | 1\ntest_it.py::test_green | c | 1\n").returncode == 1
-    done = played("test_it.py::test_gone | c | 1\n")
-    assert done.returncode == 2 and f"{FILE}: expected tests that exist" in done.stdout + done.stderr
-    done = played("rubbish\n")
-    assert done.returncode == 2 and f"{FILE}:1: expected" in done.stdout + done.stderr
+    def run_with(known_red_text):
+        (tmp_path / FILE).write_text(known_red_text)
+        command = [sys.executable, "-B", "-m", "pytest", "-q", "-p", "no:cacheprovider"]
+        return subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
+
+    result = run_with("test_it.py::test_red | a planted one | 34\n")
+    assert result.returncode == 0 and "known red: test_it.py::test_red | a planted one | 34" in result.stdout
+    assert run_with("").returncode == 1
+    assert run_with("test_it.py::test_red | c | 1\ntest_it.py::test_green | c | 1\n").returncode == 1
+    result = run_with("test_it.py::test_gone | c | 1\n")
+    assert result.returncode == 2 and f"{FILE}: expected tests that exist" in result.stdout + result.stderr
+    result = run_with("rubbish\n")
+    assert result.returncode == 2 and f"{FILE}:1: expected" in result.stdout + result.stderr
