--- a/swiftwell/cli/day.py
+++ b/swiftwell/cli/day.py
@@ -14,7 +14,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from swiftwell.cli.reading import load_or_exit
+from swiftwell.cli.document_loading import load_or_exit
 from swiftwell.proof import days
 from swiftwell.proof.runner import DayFailed, Player
 
--- a/swiftwell/cli/fleet.py
+++ b/swiftwell/cli/fleet.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from swiftwell.cli.reading import load_or_exit
+from swiftwell.cli.document_loading import load_or_exit
 
 ANSWER_TIMEOUT_S = 3.0
 
--- a/swiftwell/cli/lab.py
+++ b/swiftwell/cli/lab.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 
 from swiftwell.cli.day import table
-from swiftwell.cli.reading import load_or_exit
+from swiftwell.cli.document_loading import load_or_exit
 from swiftwell.proof import days
 
 
--- a/swiftwell/cli/lists.py
+++ b/swiftwell/cli/lists.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from swiftwell.cli.reading import load_or_exit
+from swiftwell.cli.document_loading import load_or_exit
 from swiftwell.discovery import saved, trust
 from swiftwell.discovery.entries import parse_worker_file
 from swiftwell.interface import State
--- a/swiftwell/cli/main.py
+++ b/swiftwell/cli/main.py
@@ -14,7 +14,7 @@
 import msgspec
 import uvloop
 
-from swiftwell.cli.reading import load_or_exit
+from swiftwell.cli.document_loading import load_or_exit
 from swiftwell.settings.schema import reference
 from swiftwell.settings.site import Site, load
 
--- a/swiftwell/cli/sites.py
+++ b/swiftwell/cli/sites.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from swiftwell.cli.reading import load_or_exit
+from swiftwell.cli.document_loading import load_or_exit
 from swiftwell.settings import sites as document
 from swiftwell.sites.plan import Demand, LossPlan, Place, Sites, differences, plans, sacrifice
 
