--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -44,7 +44,7 @@
 
 
 class Observer(Protocol):
-    """Who looks on at calls, and may turn triggers away ahead of the module (sites/watch)."""
+    """Who looks on at calls, and may turn triggers away ahead of the module (sites/health_observations)."""
 
     def reject_for_us(self, trigger: Trigger) -> int:
         """0 to take it, else for how many us its publisher is sent away."""
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -50,11 +50,11 @@
 from swiftwell.http.http1 import Request, Response
 from swiftwell.http.server import Server
 from swiftwell.settings.site import Site, host_port
-from swiftwell.sites.admit import Rank
-from swiftwell.sites.watch import BOARD, Watch
-from swiftwell.starting.follow import LOOK_S, Follower
+from swiftwell.sites.admission import Rank
+from swiftwell.sites.health_observations import BOARD, Watch
+from swiftwell.starting.list_follower import LOOK_S, Follower
 from swiftwell.starting.orders import Orders
-from swiftwell.starting.part import Part, routers
+from swiftwell.starting.ramp_share import Part, routers
 from swiftwell.workers.link import Link, LinkBounds
 
 if TYPE_CHECKING:
--- a/swiftwell/lab/zone.py
+++ b/swiftwell/lab/zone.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Iterable
 
 from swiftwell.lab.town import Town
-from swiftwell.starting.lists import Ask
+from swiftwell.starting.list_reader import Ask
 from swiftwell.starting.zone import ZoneList
 
 SECOND = 1_000_000  # us
--- a/swiftwell/proof/explore_sites.py
+++ b/swiftwell/proof/explore_sites.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swiftwell.sites.back import HOLD_US, SETTLE_US, SLICES, Conductor, Follower, Seen, Word
+from swiftwell.sites.recovery import HOLD_US, SETTLE_US, SLICES, Conductor, Follower, Seen, Word
 
 GOOD, BAD = Seen(20, 20), Seen(20, 5)
 STEP = SETTLE_US // 2  # us of a jump in time: half of what a slice takes
--- a/swiftwell/sites/watch.py
+++ b/swiftwell/sites/health_observations.py
@@ -16,10 +16,10 @@
 from swiftwell.gateway.clock import Clock
 from swiftwell.gateway.engine import Engine
 from swiftwell.interface import State, Status
-from swiftwell.sites.admit import Rank
-from swiftwell.sites.back import Word
-from swiftwell.sites.desk import ORDERS, Desk, Say, Words
-from swiftwell.sites.judge import Change
+from swiftwell.sites.admission import Rank
+from swiftwell.sites.failure_detection import Change
+from swiftwell.sites.operator_commands import ORDERS, Desk, Say, Words
+from swiftwell.sites.recovery import Word
 
 NAME = "sites"  # of these words in the fleet
 LOOK_S = 0.1  # s between looks whether a window is over: a fifth of one
--- a/swiftwell/sites/desk.py
+++ b/swiftwell/sites/operator_commands.py
@@ -14,9 +14,9 @@
 from msgspec import Struct
 
 from swiftwell.interface import Status
-from swiftwell.sites.admit import Admission, Rank
-from swiftwell.sites.back import FRESH_US, Conductor, Follower, Order, Seen, Word, shown
-from swiftwell.sites.judge import SLOW_TIMES, WINDOW_US, Change, Judge, Look, State
+from swiftwell.sites.admission import Admission, Rank
+from swiftwell.sites.failure_detection import SLOW_TIMES, WINDOW_US, Change, Judge, Look, State
+from swiftwell.sites.recovery import FRESH_US, Conductor, Follower, Order, Seen, Word, shown
 
 ASKED = 5  # others who are asked of a site in doubt: more than can all be wrong by one bad way
 USUAL = 0.05  # weight of one answer in the mean that is usual for its class
--- a/swiftwell/starting/follow.py
+++ b/swiftwell/starting/list_follower.py
@@ -17,7 +17,7 @@
 from swiftwell.gateway.clock import Clock
 from swiftwell.http.client import Unreachable
 from swiftwell.settings.document import SettingsError
-from swiftwell.starting.lists import Ask
+from swiftwell.starting.list_reader import Ask
 from swiftwell.starting.zone import What, ZoneList
 
 LOOK_S = 0.05  # s between two looks: a step of the fleet
--- a/swiftwell/starting/plan.py
+++ b/swiftwell/starting/plan.py
@@ -15,7 +15,7 @@
 from swiftwell.fleet.shares import RESERVED_PPM, TOTAL_PPM
 from swiftwell.settings.site import Site
 from swiftwell.starting.copies import ASKED_US, TRIES
-from swiftwell.starting.lists import ALONE_US, LEARN_US, SILENT_PERIODS
+from swiftwell.starting.list_reader import ALONE_US, LEARN_US, SILENT_PERIODS
 
 START_CPU_S = 0.5  # s of processor time of one start, measured (docs/performance.md)
 LIST_S = 1.0  # s until the first answer has reached all of a zone: five rounds of a board, with losses
--- a/swiftwell/starting/zone.py
+++ b/swiftwell/starting/zone.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from swiftwell.fleet.node import FleetNode
-from swiftwell.starting.lists import Ask, Reading, Seen
+from swiftwell.starting.list_reader import Ask, Reading, Seen
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,20 +15,8 @@
 from swiftwell.proof.explore_sites import ReturnModel, Scope
 from swiftwell.settings import sites as document
 from swiftwell.settings.document import SettingsError
-from swiftwell.sites.admit import LEAST, STEP_US, Admission, Rank
-from swiftwell.sites.back import (
-    FRESH_US,
-    HOLD_US,
-    SETTLE_US,
-    SLICES,
-    Conductor,
-    Follower,
-    Order,
-    Seen,
-    Word,
-    shown,
-)
-from swiftwell.sites.judge import DOUBT_US, FLAP_US, GOOD_US, MOVES, WINDOW_US, Judge, Look, State
+from swiftwell.sites.admission import LEAST, STEP_US, Admission, Rank
+from swiftwell.sites.failure_detection import DOUBT_US, FLAP_US, GOOD_US, MOVES, WINDOW_US, Judge, Look, State
 from swiftwell.sites.plan import (
     HEADROOM,
     Demand,
@@ -41,6 +29,18 @@
     plans,
     sacrifice,
 )
+from swiftwell.sites.recovery import (
+    FRESH_US,
+    HOLD_US,
+    SETTLE_US,
+    SLICES,
+    Conductor,
+    Follower,
+    Order,
+    Seen,
+    Word,
+    shown,
+)
 
 EXAMPLE = Path(__file__).parents[1] / "examples" / "sites.kdl"
 
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -13,8 +13,8 @@
 from swiftwell.fleet.replicated_log import MAX_DELETED_ENTRIES, MAX_ENTRY_BYTES, ReplicatedLog
 from swiftwell.lab.zone import Zone
 from swiftwell.starting.copies import ASKED_US, MOST_FUNCTIONS, TRIES, Copies, Do, ranked
-from swiftwell.starting.lists import Ask, Reading, Seen, places
-from swiftwell.starting.part import RISE_US, Part
+from swiftwell.starting.list_reader import Ask, Reading, Seen, places
+from swiftwell.starting.ramp_share import RISE_US, Part
 
 SECOND = 1_000_000
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -33,8 +33,8 @@
 from swiftwell.proof import account, days, rules, trace, verdict
 from swiftwell.scale import results
 from swiftwell.settings import platform, schema, site
-from swiftwell.sites import back, desk
-from swiftwell.starting import copies, follow
+from swiftwell.sites import operator_commands, recovery
+from swiftwell.starting import copies, list_follower
 
 STORED = Path(__file__).parent / "stored"
 SOURCES = Path(swiftwell.__file__).parent
@@ -290,10 +290,10 @@
 @pytest.mark.parametrize(
     "name, kind",
     [
-        ("return", back.Word),
-        ("site", desk.Words),
+        ("return", recovery.Word),
+        ("site", operator_commands.Words),
         ("copy", copies.Word),
-        ("row", follow.Row),
+        ("row", list_follower.Row),
     ],
 )
 def test_a_stored_message_between_gateways_is_read_and_written_the_same(name, kind):
