--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -52,9 +52,9 @@
 from swiftwell.settings.site import Site, host_port
 from swiftwell.sites.admission import Rank
 from swiftwell.sites.health_observations import BOARD, Watch
-from swiftwell.starting.list_follower import LOOK_S, Follower
+from swiftwell.starting.list_follower import STEP_INTERVAL_S, ListFollower
 from swiftwell.starting.orders import Orders
-from swiftwell.starting.ramp_share import Part, routers
+from swiftwell.starting.ramp_share import RampShare, router_count
 from swiftwell.workers.link import Link, LinkBounds
 
 if TYPE_CHECKING:
@@ -76,7 +76,7 @@
         told = site.told()
         if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may have all that is lent
             own = Share("cold", len(site.fleet.member)).reserved_ppm
-            told = replace(told, routers=routers(own))
+            told = replace(told, routers=router_count(own))
         super().__init__(logs, {request_class.name: request_class.effect for request_class in told.classes})
         self._chance = random.Random(f"{site.name}/{self.clock.wall_us()}")
         keep = site.ledger
@@ -108,7 +108,7 @@
         self.subscribers: list[Subscriber] = []
         self.amqp: list[AmqpLink] = []
         self.fleet: FleetLink | None = None
-        self.follower: Follower | None = None
+        self.follower: ListFollower | None = None
         self.orders: Orders | None = None
         self.watch: Watch | None = None
         self._tasks: list[asyncio.Task] = []
@@ -328,7 +328,7 @@
     def _listed(self, members: io.Members) -> None:
         """A list from its source; with a reader for the zone it is told to the others as well."""
         if self.follower:
-            self.follower.told(members)
+            self.follower.on_service_list(members)
         else:
             self._tell_list(members)
 
@@ -377,7 +377,7 @@
         self.fleet = link
         self.log("info", "fleet-joined", members=len(names), epoch=fleet.epoch)
         if fleet.one_reader and self._service:
-            self.follower = Follower(
+            self.follower = ListFollower(
                 link, f"list/{zone}", fleet.list_rate / zones, self.clock, self._tell_list, self.log,
                 Backoff(self._chance),
             )  # fmt: skip
@@ -393,7 +393,7 @@
         looks: list[Callable[[], None]] = []
         if fleet.one_order:
             self.orders = Orders(link, self.link.order, self.enqueue)
-            looks.append(self.orders.look)
+            looks.append(self.orders.step)
         if "cold" in fleet.budgets:
             looks.append(self._acting_by_part(link))
         if "connections" in fleet.budgets:
@@ -432,21 +432,21 @@
         while True:
             for look in looks:
                 look()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     def _acting_by_part(self, link: FleetLink) -> Callable[[], None]:
         """Tell the module what part of the fleet's budget for starting workers is ours."""
         share = link.node.shares["cold"]
-        part, before = Part(share.reserved_ppm), (0, 0)
+        part, before = RampShare(share.reserved_ppm), (0, 0)
 
         def look() -> None:
             nonlocal before
             now = link.now_us()
-            divide, until = part.look(now, share.ppm(now)), share.loan_expires_at(now)
+            divide, until = part.update(now, share.ppm(now)), share.loan_expires_at(now)
             if (divide, until) != before:
                 before = divide, until
                 ends = self.clock.now_us() + until - now if until else 0
-                self.engine.set_budget_divisor(divide, ends, routers(share.reserved_ppm))
+                self.engine.set_budget_divisor(divide, ends, router_count(share.reserved_ppm))
                 self.log("debug", "fleet-part", routers=divide, at_us=self.clock.now_us(), until_us=ends)
 
         return look
@@ -457,7 +457,7 @@
         Rises and falls at once, half a step late at most; a process that stands still keeps what is open.
         """
         share, now = link.node.shares["connections"], link.now_us()
-        parts = min(share.ppm(now), share.ppm(now + int(2e6 * LOOK_S)))
+        parts = min(share.ppm(now), share.ppm(now + int(2e6 * STEP_INTERVAL_S)))
         self.link.limit_connections(self.site.workers.worker_connections * parts // TOTAL_PPM)
 
     def _admit(self, packet: Connect) -> Reason | None:
--- a/swiftwell/lab/zone.py
+++ b/swiftwell/lab/zone.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Iterable
 
 from swiftwell.lab.town import Town
-from swiftwell.starting.list_reader import Ask
+from swiftwell.starting.list_reader import QueryMode
 from swiftwell.starting.zone import ZoneList
 
 SECOND = 1_000_000  # us
@@ -28,7 +28,7 @@
         self.rows = {f"127.0.0.1:{40_000 + n}": b"row %d" % n + b"x" * 24 for n in range(workers)}
         self.up = True
         self.held = set(group)  # who reaches the service
-        self.asked: list[tuple[int, int, Ask]] = []  # when, who, in which turn
+        self.asked: list[tuple[int, int, QueryMode]] = []  # when, who, in which turn
         self.down = set(group) - set(group if present is None else present)
         self.lists = [self._list(me) for me in group]
         self._seen: dict[int, dict[str, bytes]] = {}  # what each reader last heard from the service
@@ -47,23 +47,23 @@
         for me in self.group:
             if me in self.down or me in stopped:
                 continue
-            one, reading = self.lists[me], self.lists[me].reading
+            one, reader = self.lists[me], self.lists[me].reader
             reaches, wall_ms = self.up and me in self.held, self.now // 1_000
-            if reading.reader and not reaches:
-                reading.lost()
+            if reader.is_reader and not reaches:
+                reader.on_failure()
                 continue
-            if reading.reader and self._seen.get(me) != self.rows:
-                one.told(self.now, wall_ms, self.rows)
+            if reader.is_reader and self._seen.get(me) != self.rows:
+                one.on_service_list(self.now, wall_ms, self.rows)
                 self._seen[me] = self.rows
-            what = one.look(self.now, wall_ms, reading.reader)
-            if what.ask is not Ask.NOT:
-                self.asked.append((self.now, me, what.ask))
-                reading.asked(self.now)
+            what = one.step(self.now, wall_ms, reader.is_reader)
+            if what.query is not QueryMode.NONE:
+                self.asked.append((self.now, me, what.query))
+                reader.on_query(self.now)
                 if reaches:
-                    one.told(self.now, wall_ms, self.rows)
+                    one.on_service_list(self.now, wall_ms, self.rows)
                     self._seen[me] = self.rows
                 else:
-                    reading.lost()
+                    reader.on_failure()
 
     def go(
         self, seconds: float, each: Callable[[], object] = lambda: None, stopped: Collection[int] = ()
@@ -77,9 +77,9 @@
 
     def readers(self) -> list[int]:
         """Who reads."""
-        return [me for me in self.group if me not in self.down and self.lists[me].reading.reader]
+        return [me for me in self.group if me not in self.down and self.lists[me].reader.is_reader]
 
     def worst_second(self) -> int:
         """The most questions of routers that hear others, in any second."""
-        times = [at for at, _, what in self.asked if what is not Ask.ALONE]
+        times = [at for at, _, what in self.asked if what is not QueryMode.ISOLATED]
         return max((sum(0 <= b - a < SECOND for b in times) for a in times), default=0)
--- a/swiftwell/starting/__init__.py
+++ b/swiftwell/starting/__init__.py
@@ -1,1 +1,4 @@
-"""Starting together: who reads the list of workers, and when.  Stands on `fleet`, which knows none of it."""
+"""Coordinated start of a fleet: who reads the worker list, and when.
+
+Builds on `fleet`, which does not import it.
+"""
--- a/swiftwell/starting/copies.py
+++ b/swiftwell/starting/copies.py
@@ -1,12 +1,12 @@
-"""One order for a function's copy, not one from each router.  Decisions, no I/O.
-
-The module decides that a copy is wanted, and where.  Before its order goes out, one member of the fleet is
-asked: whoever comes first for that function in an order that all share.  It lets the first order go, tells
-the others to wait, and passes on what came of it: a copy that stands is told to all who asked.  Nothing here
-is a promise: an asked member that is silent is passed over after ASKED_US for the next, and after TRIES of
-them the order goes out as it would without a fleet.  So a copy is late by that at most, and a restart of the
-asked member costs an order more at most for each copy that is under way.  What has to wait never goes out
-later: orders are counted when they are decided.
+"""One load order for a function's copy instead of one from each router.  Decisions, no I/O.
+
+The module decides that a copy is wanted, and at which worker.  Before its load order is sent, one member of
+the fleet, the coordinator of that function, is asked; all members rank the candidates alike.  The coordinator
+grants the first order, tells the others to wait, and forwards the result: everyone who asked learns of the
+loaded copy.  Nothing here is guaranteed: a coordinator that does not answer within REPLY_TIMEOUT_US is
+skipped for the next one, and after MAX_ATTEMPTS of them the order is sent as it would be without a fleet.
+This bounds the delay of a copy; a restart of a coordinator costs at most one extra order for each copy that
+is being loaded.  An order that has to wait is never sent later: orders are counted when they are decided.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 
 from msgspec import Struct
 
-ASKED_US = 150_000  # us until who was asked counts as silent: a hundred times a LAN's way, a fifth of a load
-TRIES = 3  # members asked in turn
-SETTLE_US = 3_000_000  # us from our start in which those we have not heard of may be there all the same
-UNDER_WAY_US = 5_000_000  # us until an order that was let go counts as lost: six times a usual load
-STANDS_US = 10_000_000  # us for which a copy is taken to stand: idle copies stay so long at least
-MOST_FUNCTIONS = 5_000  # functions kept account of; the ones asked for longest ago are forgotten
-MOST_WAITING = 256  # members told of one copy; others hear when they ask again
+REPLY_TIMEOUT_US = 150_000  # us until a coordinator counts as silent: 100 LAN round trips, 1/5 of a load
+MAX_ATTEMPTS = 3  # coordinators asked one after the other
+SETTLE_US = 3_000_000  # us after our start in which members we have not heard from may still be alive
+ORDER_TIMEOUT_US = 5_000_000  # us until a granted order counts as lost: six times a usual load
+COPY_TTL_US = 10_000_000  # us for which a loaded copy is assumed to exist: idle copies live at least as long
+MAX_FUNCTIONS = 5_000  # functions tracked; the least recently requested ones are evicted
+MAX_WAITING = 256  # members notified of one copy; the others learn of it when they ask again
 
 
-class Say(IntEnum):
-    """What is said of a copy."""
+class MessageKind(IntEnum):
+    """Kind of a message about a copy."""
 
-    WISH = 0  # may we order it?
-    GO = 1  # yes
-    WAIT = 2  # another's order is under way
-    STANDS = 3  # it stands there
-    FAILED = 4  # the order that was let go came to nothing
-    NOTHING = 5  # what you wait for came to nothing
+    REQUEST = 0  # may we send a load order?
+    GRANT = 1  # yes
+    WAIT = 2  # another router's order is in progress
+    LOADED = 3  # the copy is loaded
+    FAILED = 4  # the granted order failed
+    NOT_LOADED = 5  # the order that the receiver waits for failed
 
 
-class Word(Struct, frozen=True, array_like=True):
-    """Something said of a function's copy at a worker; `number` is the asker's own."""
+class CopyMessage(Struct, frozen=True, array_like=True):
+    """A message about a function's copy at a worker; `number` is the requester's own order number."""
 
-    say: Say
+    kind: MessageKind
     number: int
     function: str
     worker: str
     copies: int = 0
 
 
-class Do(IntEnum):
-    """What a router does about its own order."""
+class Decision(IntEnum):
+    """What a router does with its own load order."""
 
-    ORDER = 0  # send it
-    STANDS = 1  # a copy stands at `worker`
-    NOTHING = 2  # it never goes out: the module decides anew
+    SEND = 0
+    COPY_EXISTS = 1  # a copy is loaded at `worker`
+    DROP = 2  # the order is never sent: the module decides anew
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
-    """For the order of that number."""
+class OrderDecision:
+    """The decision about the load order with that number."""
 
-    do: Do
+    decision: Decision
     number: int
     function: str
     worker: str
@@ -69,32 +69,32 @@
 
 
 @dataclass(slots=True)
-class _Wish:
-    """An order of ours that was not let go yet."""
+class _PendingOrder:
+    """A load order of ours that is not granted yet."""
 
     function: str
     worker: str
-    known: int
-    asked: int  # who
-    at: int
-    tries: int = 1
-    waits: bool = False
+    known_copies: int
+    coordinator: int  # the member that was asked
+    asked_at: int
+    attempts: int = 1
+    waiting: bool = False  # told to wait for another router's order
 
 
 @dataclass(slots=True)
-class _Function:
-    """What we, asked for it, know of a function."""
+class _FunctionState:
+    """What we, as its coordinator, know of a function."""
 
-    orders: dict[str, tuple[int, int]] = field(default_factory=dict)  # worker: by whom, until when
-    stands: dict[str, int] = field(default_factory=dict)  # worker: until when
-    waiting: dict[int, tuple[int, str]] = field(default_factory=dict)  # member: its number, worker
+    orders: dict[str, tuple[int, int]] = field(default_factory=dict)  # worker: ordering member, expiry
+    loaded: dict[str, int] = field(default_factory=dict)  # worker: expiry
+    waiting: dict[int, tuple[int, str]] = field(default_factory=dict)  # member: its order number, worker
 
 
-Out = tuple[list[tuple[int, Word]], list[Act]]
+Outputs = tuple[list[tuple[int, CopyMessage]], list[OrderDecision]]
 
 
-def ranked(group: Collection[int], function: str) -> list[int]:
-    """The group in the order in which its members are asked for a function, the same at everyone."""
+def rank_members(group: Collection[int], function: str) -> list[int]:
+    """Return the group in the order in which its members coordinate a function; the same at each member."""
 
     def weight(member: int) -> bytes:
         return hashlib.blake2b(f"{function}\0{member}".encode(), digest_size=8).digest()
@@ -102,161 +102,194 @@
     return sorted(group, key=weight)
 
 
-class Copies:
-    """One router's part: asks for its own orders, and answers for the functions that it comes first for."""
+class CopyCoordinator:
+    """One router's part: requests grants for its orders, coordinates the functions it ranks first for."""
 
     def __init__(self, me: int, group: tuple[int, ...], now: int) -> None:
-        self.me, self.group, self.began = me, group, now
-        self.wishes: dict[int, _Wish] = {}
-        self.table: OrderedDict[str, _Function] = OrderedDict()
+        self.me, self.group, self.started_at = me, group, now
+        self.pending: dict[int, _PendingOrder] = {}
+        self.functions: OrderedDict[str, _FunctionState] = OrderedDict()
         self.counts: Counter[str] = Counter()
-        self._under_way: dict[int, tuple[str, str, int]] = {}  # ours that go: function, worker, who let it
+        self._in_progress: dict[int, tuple[str, str, int]] = {}  # ours: function, worker, granting member
 
     # Our own orders.
 
-    def want(
-        self, now: int, number: int, function: str, worker: str, known: int, living: Collection[int]
-    ) -> Out:
-        """The module wants a copy; `known`: how many workers it believes to have one."""
-        asked = self._whom(now, function, 0, living)
-        wish = self.wishes[number] = _Wish(function, worker, known, asked, now)
-        return self._ask(now, number, wish)
-
-    def _whom(self, now: int, function: str, turn: int, living: Collection[int]) -> int:
-        """Who is asked in that turn: of the configured group, without those who seem dead once we know."""
-        settled = now - self.began >= SETTLE_US
-        group = [one for one in self.group if one == self.me or not settled or one in living]
-        order = ranked(group, function)
-        return order[turn] if turn < len(order) else self.me
-
-    def _ask(self, now: int, number: int, wish: _Wish) -> Out:
-        word = Word(Say.WISH, number, wish.function, wish.worker, wish.known)
-        if wish.asked == self.me:
-            sends, acts = self._wished(now, self.me, word)
-            return sends, acts
+    def request(
+        self, now: int, number: int, function: str, worker: str, known_copies: int, living: Collection[int]
+    ) -> Outputs:
+        """The module wants a copy; `known_copies`: workers that it believes to have one."""
+        coordinator = self._coordinator(now, function, 0, living)
+        pending = self.pending[number] = _PendingOrder(function, worker, known_copies, coordinator, now)
+        return self._ask(now, number, pending)
+
+    def _coordinator(self, now: int, function: str, attempt: int, living: Collection[int]) -> int:
+        """Return the member to ask in that attempt, without those that seem dead after SETTLE_US."""
+        settled = now - self.started_at >= SETTLE_US
+        group = [member for member in self.group if member == self.me or not settled or member in living]
+        order = rank_members(group, function)
+        return order[attempt] if attempt < len(order) else self.me
+
+    def _ask(self, now: int, number: int, pending: _PendingOrder) -> Outputs:
+        message = CopyMessage(
+            MessageKind.REQUEST, number, pending.function, pending.worker, pending.known_copies
+        )
+        if pending.coordinator == self.me:
+            sends, decisions = self._on_request(now, self.me, message)
+            return sends, decisions
         self.counts["asked"] += 1
-        return [(wish.asked, word)], []
+        return [(pending.coordinator, message)], []
 
-    def _go(self, number: int, wish: _Wish, by: int) -> Act:
-        del self.wishes[number]
-        if by >= 0:
-            self._under_way[number] = wish.function, wish.worker, by
-        return Act(Do.ORDER, number, wish.function, wish.worker)
+    def _send_order(self, number: int, pending: _PendingOrder, granted_by: int) -> OrderDecision:
+        del self.pending[number]
+        if granted_by >= 0:
+            self._in_progress[number] = pending.function, pending.worker, granted_by
+        return OrderDecision(Decision.SEND, number, pending.function, pending.worker)
 
-    def _nothing(self, number: int, wish: _Wish) -> Act:
-        del self.wishes[number]
+    def _drop_order(self, number: int, pending: _PendingOrder) -> OrderDecision:
+        del self.pending[number]
         self.counts["nothing"] += 1
-        return Act(Do.NOTHING, number, wish.function, wish.worker)
+        return OrderDecision(Decision.DROP, number, pending.function, pending.worker)
 
-    def ended(self, now: int, number: int, copies: int) -> Out:
-        """An order of ours that went has ended, with so many copies."""
-        self.wishes.pop(number, None)
-        if (was := self._under_way.pop(number, None)) is None:
+    def order_ended(self, now: int, number: int, copies: int) -> Outputs:
+        """An order of ours has ended and left this number of copies."""
+        self.pending.pop(number, None)
+        if (order := self._in_progress.pop(number, None)) is None:
             return [], []
-        function, worker, by = was
-        word = Word(Say.STANDS if copies else Say.FAILED, number, function, worker, copies)
-        return self._came(now, self.me, word) if by == self.me else ([(by, word)], [])
-
-    def step(self, now: int, living: Collection[int]) -> Out:
-        """What is due."""
-        sends: list[tuple[int, Word]] = []
-        acts: list[Act] = []
-        for number, wish in list(self.wishes.items()):
-            if wish.waits and now - wish.at >= UNDER_WAY_US:
-                acts.append(self._nothing(number, wish))
-            elif not wish.waits and now - wish.at >= ASKED_US:
+        function, worker, granted_by = order
+        kind = MessageKind.LOADED if copies else MessageKind.FAILED
+        message = CopyMessage(kind, number, function, worker, copies)
+        return (
+            self._on_result(now, self.me, message) if granted_by == self.me else ([(granted_by, message)], [])
+        )
+
+    def step(self, now: int, living: Collection[int]) -> Outputs:
+        """Handle the time-outs that are due."""
+        sends: list[tuple[int, CopyMessage]] = []
+        decisions: list[OrderDecision] = []
+        for number, pending in list(self.pending.items()):
+            if pending.waiting and now - pending.asked_at >= ORDER_TIMEOUT_US:
+                decisions.append(self._drop_order(number, pending))
+            elif not pending.waiting and now - pending.asked_at >= REPLY_TIMEOUT_US:
                 self.counts["silent"] += 1
-                if wish.tries >= TRIES:
-                    acts.append(self._go(number, wish, -1))
+                if pending.attempts >= MAX_ATTEMPTS:
+                    decisions.append(self._send_order(number, pending, -1))
                     continue
-                wish.asked, wish.at = self._whom(now, wish.function, wish.tries, living), now
-                wish.tries += 1
-                self._join((sends, acts), self._ask(now, number, wish))
-        for name, one in list(self.table.items()):
-            late = [worker for worker, (_, until) in one.orders.items() if now >= until]
-            for worker in late:
-                del one.orders[worker]
-            if late and not one.orders:
-                self._join((sends, acts), self._tell(now, name, one, Say.NOTHING, "", 0))
-        return sends, acts
+                pending.coordinator, pending.asked_at = (
+                    self._coordinator(now, pending.function, pending.attempts, living),
+                    now,
+                )
+                pending.attempts += 1
+                self._extend((sends, decisions), self._ask(now, number, pending))
+        for name, function in list(self.functions.items()):
+            expired = [worker for worker, (_, expires_at) in function.orders.items() if now >= expires_at]
+            for worker in expired:
+                del function.orders[worker]
+            if expired and not function.orders:
+                self._extend(
+                    (sends, decisions),
+                    self._notify_waiting(now, name, function, MessageKind.NOT_LOADED, "", 0),
+                )
+        return sends, decisions
 
     @staticmethod
-    def _join(to: Out, more: Out) -> None:
-        to[0].extend(more[0])
-        to[1].extend(more[1])
-
-    # What comes in.
-
-    def take(self, now: int, sender: int, word: Word) -> Out:
-        """A member's word; what is said back, and what becomes of our own orders."""
-        if word.say is Say.WISH:
-            return self._wished(now, sender, word)
-        if word.say is Say.FAILED or (word.say is Say.STANDS and word.number not in self.wishes):
-            return self._came(now, sender, word)
-        wish = self.wishes.get(word.number)
-        if wish is None or wish.function != word.function:
-            return [], []  # late: the order has gone
-        match word.say:
-            case Say.GO:
-                return [], [self._go(word.number, wish, sender)]
-            case Say.WAIT:
-                wish.waits, wish.at = True, now
-            case Say.STANDS:
-                del self.wishes[word.number]
+    def _extend(outputs: Outputs, more: Outputs) -> None:
+        outputs[0].extend(more[0])
+        outputs[1].extend(more[1])
+
+    # Messages from other members.
+
+    def handle(self, now: int, sender: int, message: CopyMessage) -> Outputs:
+        """Handle a member's message; returns the replies and the decisions about our own orders."""
+        if message.kind is MessageKind.REQUEST:
+            return self._on_request(now, sender, message)
+        if message.kind is MessageKind.FAILED or (
+            message.kind is MessageKind.LOADED and message.number not in self.pending
+        ):
+            return self._on_result(now, sender, message)
+        pending = self.pending.get(message.number)
+        if pending is None or pending.function != message.function:
+            return [], []  # late: the order has been sent
+        match message.kind:
+            case MessageKind.GRANT:
+                return [], [self._send_order(message.number, pending, sender)]
+            case MessageKind.WAIT:
+                pending.waiting, pending.asked_at = True, now
+            case MessageKind.LOADED:
+                del self.pending[message.number]
                 self.counts["spared"] += 1
-                return [], [Act(Do.STANDS, word.number, word.function, word.worker, word.copies)]
-            case Say.NOTHING:
-                return [], [self._nothing(word.number, wish)]
+                return [], [
+                    OrderDecision(
+                        Decision.COPY_EXISTS, message.number, message.function, message.worker, message.copies
+                    )
+                ]
+            case MessageKind.NOT_LOADED:
+                return [], [self._drop_order(message.number, pending)]
         return [], []
 
-    def _of(self, name: str) -> _Function:
-        one = self.table.get(name)
-        if one is None:
-            one = self.table[name] = _Function()
-            if len(self.table) > MOST_FUNCTIONS:
-                self.table.popitem(last=False)
-        self.table.move_to_end(name)
-        return one
-
-    def _wished(self, now: int, sender: int, word: Word) -> Out:
-        one = self._of(word.function)
-        one.stands = {worker: until for worker, until in one.stands.items() if until > now}
-        one.orders = {worker: had for worker, had in one.orders.items() if had[1] > now}
-        there = word.worker if word.worker in one.stands else ""
-        if not there and not word.copies:  # it knows of none: any will do
-            there = next(iter(one.stands), "")
-        if there:
-            return self._say(now, sender, Word(Say.STANDS, word.number, word.function, there, 1))
-        if word.worker in one.orders or (one.orders and not one.stands):
-            if len(one.waiting) < MOST_WAITING:
-                one.waiting[sender] = word.number, word.worker
-            return self._say(now, sender, Word(Say.WAIT, word.number, word.function, word.worker))
-        one.orders[word.worker] = sender, now + UNDER_WAY_US
+    def _function(self, name: str) -> _FunctionState:
+        function = self.functions.get(name)
+        if function is None:
+            function = self.functions[name] = _FunctionState()
+            if len(self.functions) > MAX_FUNCTIONS:
+                self.functions.popitem(last=False)
+        self.functions.move_to_end(name)
+        return function
+
+    def _on_request(self, now: int, sender: int, message: CopyMessage) -> Outputs:
+        function = self._function(message.function)
+        function.loaded = {
+            worker: expires_at for worker, expires_at in function.loaded.items() if expires_at > now
+        }
+        function.orders = {worker: order for worker, order in function.orders.items() if order[1] > now}
+        loaded_at = message.worker if message.worker in function.loaded else ""
+        if not loaded_at and not message.copies:  # the requester knows of no copy: any will do
+            loaded_at = next(iter(function.loaded), "")
+        if loaded_at:
+            return self._reply(
+                now, sender, CopyMessage(MessageKind.LOADED, message.number, message.function, loaded_at, 1)
+            )
+        if message.worker in function.orders or (function.orders and not function.loaded):
+            if len(function.waiting) < MAX_WAITING:
+                function.waiting[sender] = message.number, message.worker
+            return self._reply(
+                now, sender, CopyMessage(MessageKind.WAIT, message.number, message.function, message.worker)
+            )
+        function.orders[message.worker] = sender, now + ORDER_TIMEOUT_US
         self.counts["let-go"] += 1
-        return self._say(now, sender, Word(Say.GO, word.number, word.function, word.worker))
-
-    def _say(self, now: int, to: int, word: Word) -> Out:
-        return self.take(now, self.me, word) if to == self.me else ([(to, word)], [])
-
-    def _came(self, now: int, sender: int, word: Word) -> Out:
-        """What came of an order that we let go, or of one that went without being asked for."""
-        one = self._of(word.function)
-        one.orders.pop(word.worker, None)
-        if word.say is Say.STANDS:
-            one.stands[word.worker] = now + STANDS_US
-            return self._tell(now, word.function, one, Say.STANDS, word.worker, word.copies)
-        one.stands.pop(word.worker, None)
-        return self._tell(now, word.function, one, Say.NOTHING, "", 0)
-
-    def _tell(self, now: int, function: str, one: _Function, say: Say, worker: str, copies: int) -> Out:
-        """To all who wait."""
-        out: Out = [], []
-        waiting, one.waiting = one.waiting, {}
-        for member, (number, where) in waiting.items():
-            word = Word(say, number, function, worker or where, copies)
-            self._join(out, self._say(now, member, word))
-        return out
+        return self._reply(
+            now, sender, CopyMessage(MessageKind.GRANT, message.number, message.function, message.worker)
+        )
+
+    def _reply(self, now: int, to: int, message: CopyMessage) -> Outputs:
+        return self.handle(now, self.me, message) if to == self.me else ([(to, message)], [])
+
+    def _on_result(self, now: int, sender: int, message: CopyMessage) -> Outputs:
+        """Record the result of an order that we granted, or of one that was sent without a grant."""
+        function = self._function(message.function)
+        function.orders.pop(message.worker, None)
+        if message.kind is MessageKind.LOADED:
+            function.loaded[message.worker] = now + COPY_TTL_US
+            return self._notify_waiting(
+                now, message.function, function, MessageKind.LOADED, message.worker, message.copies
+            )
+        function.loaded.pop(message.worker, None)
+        return self._notify_waiting(now, message.function, function, MessageKind.NOT_LOADED, "", 0)
+
+    def _notify_waiting(
+        self, now: int, name: str, function: _FunctionState, kind: MessageKind, worker: str, copies: int
+    ) -> Outputs:
+        """Send the result to all members that wait for it."""
+        outputs: Outputs = [], []
+        waiting, function.waiting = function.waiting, {}
+        for member, (number, wanted_at) in waiting.items():
+            message = CopyMessage(kind, number, name, worker or wanted_at, copies)
+            self._extend(outputs, self._reply(now, member, message))
+        return outputs
 
     def sizes(self) -> dict[str, int]:
-        """Everything held."""
-        return {"wishes": len(self.wishes), "functions": len(self.table), "under-way": len(self._under_way)}
+        """Return the number of entries held in each table."""
+        return {
+            "wishes": len(self.pending),
+            "functions": len(self.functions),
+            "under-way": len(self._in_progress),
+        }
--- a/swiftwell/starting/orders.py
+++ b/swiftwell/starting/orders.py
@@ -1,4 +1,4 @@
-"""Orders to load on their way out: the fleet is asked first, by `copies.Copies`.  Nothing is decided here."""
+"""Passes outgoing load orders through the fleet's `copies.CopyCoordinator` first.  Decides nothing itself."""
 
 from __future__ import annotations
 
@@ -9,78 +9,82 @@
 from swiftwell.fleet.link import FleetLink
 from swiftwell.gateway import ports
 from swiftwell.interface import Status
-from swiftwell.starting.copies import Copies, Do, Out, Word
+from swiftwell.starting.copies import CopyCoordinator, CopyMessage, Decision, Outputs
 
-NAME = "copies"  # of these words in the fleet
+NAME = "copies"  # name of these messages in the fleet
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Word).decode
+_decode = msgspec.msgpack.Decoder(CopyMessage).decode
 
 
 class Orders:
-    """`send` carries an order out; `put` takes what happened to the engine."""
+    """`send` transmits an order to its worker; `enqueue` passes results to the engine."""
 
     def __init__(
-        self, link: FleetLink, send: Callable[[ports.Order], None], put: Callable[[ports.Input], None]
+        self, link: FleetLink, send: Callable[[ports.Order], None], enqueue: Callable[[ports.Input], None]
     ) -> None:
-        self._link, self._send, self._put = link, send, put
-        told = link.node.settings
-        self.copies = Copies(told.me, tuple(range(len(told.roster))), link.now_us())
+        self._link, self._send, self._enqueue = link, send, enqueue
+        settings = link.node.settings
+        self.coordinator = CopyCoordinator(settings.me, tuple(range(len(settings.roster))), link.now_us())
         self._held: dict[int, ports.Order] = {}
-        link.node.message_handlers[NAME] = self._take
+        link.node.message_handlers[NAME] = self._on_message
 
-    def order(self, act: ports.Order, known: int) -> None:
-        """An order of the module's; questions (no copies wanted) go out as they are."""
-        if not act.copies:
-            return self._send(act)
-        self._held[act.number] = act
+    def order(self, order: ports.Order, known_copies: int) -> None:
+        """Coordinate a load order of the module; a query (zero copies wanted) is sent as it is."""
+        if not order.copies:
+            return self._send(order)
+        self._held[order.number] = order
         now = self._link.now_us()
-        self._carry(self.copies.want(now, act.number, act.function, act.worker, known, self._living()))
+        self._execute(
+            self.coordinator.request(
+                now, order.number, order.function, order.worker, known_copies, self._living()
+            )
+        )
 
     def ended(self, end: ports.OrderEnd) -> None:
-        """An order has ended, also one that never went out."""
+        """An order has ended; it may never have been sent."""
         self._held.pop(end.number, None)
         copies = end.copies if end.status is Status.OK else 0
-        self._carry(self.copies.ended(self._link.now_us(), end.number, copies))
+        self._execute(self.coordinator.order_ended(self._link.now_us(), end.number, copies))
 
-    def recall(self, act: ports.Recall) -> bool:
-        """An order whose time is up in the engine goes out no more; whether it was still here."""
-        here = act.number in self._held
-        if here:
-            self.ended(ports.OrderEnd(act.number, Status.TIMEOUT, 0))
-        return here
+    def recall(self, recall: ports.Recall) -> bool:
+        """Drop an order that timed out in the engine; returns whether it had not been sent."""
+        unsent = recall.number in self._held
+        if unsent:
+            self.ended(ports.OrderEnd(recall.number, Status.TIMEOUT, 0))
+        return unsent
 
-    def look(self) -> None:
-        """Now and then."""
-        self._carry(self.copies.step(self._link.now_us(), self._living()))
+    def step(self) -> None:
+        """Handle the time-outs that are due; called periodically."""
+        self._execute(self.coordinator.step(self._link.now_us(), self._living()))
 
     def _living(self) -> list[int]:
         return self._link.node.members.alive()
 
-    def _take(self, now: int, sender: int, body: bytes) -> None:
+    def _on_message(self, now: int, sender: int, body: bytes) -> None:
         try:
-            word = _decode(body)
+            message = _decode(body)
         except (msgspec.DecodeError, ValueError):
-            self.copies.counts["unreadable"] += 1
+            self.coordinator.counts["unreadable"] += 1
             return
-        self._carry(self.copies.take(now, sender, word))
+        self._execute(self.coordinator.handle(now, sender, message))
 
-    def _carry(self, out: Out) -> None:
-        sends, acts = out
-        for to, word in sends:
-            self._link.node.send_message(to, NAME, _encode(word))
+    def _execute(self, outputs: Outputs) -> None:
+        sends, decisions = outputs
+        for to, message in sends:
+            self._link.node.send_message(to, NAME, _encode(message))
         if sends:
             self._link.wake()
-        for act in acts:
-            order = self._held.pop(act.number, None)
+        for decision in decisions:
+            order = self._held.pop(decision.number, None)
             if order is None:
-                continue  # it timed out meanwhile
-            if act.do is Do.ORDER:
+                continue  # it has timed out
+            if decision.decision is Decision.SEND:
                 self._send(order)
                 continue
-            # Where it stands elsewhere, the module hears of that copy first, and that ours came to nothing.
-            here = act.do is Do.STANDS and act.worker == order.worker
-            if act.do is Do.STANDS and not here:
-                self._put(ports.Copy(act.worker, act.function, act.copies))
+            # With a copy at another worker, the module learns of that copy first, then that our order failed.
+            here = decision.decision is Decision.COPY_EXISTS and decision.worker == order.worker
+            if decision.decision is Decision.COPY_EXISTS and not here:
+                self._enqueue(ports.Copy(decision.worker, decision.function, decision.copies))
             status = Status.OK if here else Status.FULL
-            self._put(ports.OrderEnd(act.number, status, act.copies if here else 0))
+            self._enqueue(ports.OrderEnd(decision.number, status, decision.copies if here else 0))
--- a/swiftwell/starting/ramp_share.py
+++ b/swiftwell/starting/ramp_share.py
@@ -1,8 +1,8 @@
-"""What part of a fleet's budget this router acts by, as the module is told it.  Decisions, no I/O.
+"""This router's share of a fleet-wide budget, as a number of routers to divide by.  Decisions, no I/O.
 
-The module divides budgets by a number of routers.  A part of the whole that is lent for a time stands for
-such a number: a whole over the part.  It falls at once when a loan runs out, and rises slowly, as whoever had
-it before may have used its part of the span that a budget is counted over.
+The module divides budgets by a number of routers.  A share of the whole that is lent for a time is expressed
+as such a number: the whole divided by the share.  It falls at once when a loan expires and rises slowly,
+because the previous holder may have used its share of the interval over which the budget is counted.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 from swiftwell.fleet.shares import TOTAL_PPM
 
-RISE_US = 2_000_000  # us in which a part may double: a cold worker's budget is usually counted over as long
+DOUBLING_US = 2_000_000  # us in which a share may double: usually the interval of a cold worker's budget
 
 
-class Part:
-    """Our part of one budget."""
+class RampShare:
+    """This router's share of one budget, with a limited rate of growth."""
 
-    def __init__(self, parts: int) -> None:
-        self._parts, self._at = float(parts), 0
+    def __init__(self, share_ppm: int) -> None:
+        self._share_ppm, self._updated_at = float(share_ppm), 0
 
-    def look(self, now: int, parts: int) -> int:
-        """The number of routers to divide by, where `parts` are ours now."""
-        passed, self._at = (now - self._at if self._at else 0), now
-        if parts < self._parts:
-            self._parts = float(parts)
+    def update(self, now: int, share_ppm: int) -> int:
+        """Return the number of routers to divide by, given the share that is held now."""
+        passed, self._updated_at = (now - self._updated_at if self._updated_at else 0), now
+        if share_ppm < self._share_ppm:
+            self._share_ppm = float(share_ppm)
         else:
-            self._parts = min(float(parts), self._parts * 2 ** min(8.0, passed / RISE_US))
-        return routers(self._parts)
+            self._share_ppm = min(float(share_ppm), self._share_ppm * 2 ** min(8.0, passed / DOUBLING_US))
+        return router_count(self._share_ppm)
 
 
-def routers(parts: float) -> int:
-    """A part as a number of routers."""
-    return max(1, math.ceil(TOTAL_PPM / max(1.0, parts)))
+def router_count(share_ppm: float) -> int:
+    """Express a share as a number of routers."""
+    return max(1, math.ceil(TOTAL_PPM / max(1.0, share_ppm)))
--- a/swiftwell/starting/zone.py
+++ b/swiftwell/starting/zone.py
@@ -1,6 +1,6 @@
-"""One router's list of a zone: its board, the board's lease and its turns at the service, joined.  No I/O.
+"""One router's list of a zone: joins the replicated log, its lease and the turns at the service.  No I/O.
 
-`follow` carries it out on sockets, lab/zone in virtual time.
+`list_follower` runs it on sockets, lab/zone in virtual time.
 """
 
 from __future__ import annotations
@@ -8,64 +8,66 @@
 from dataclasses import dataclass
 
 from swiftwell.fleet.node import FleetNode
-from swiftwell.starting.list_reader import Ask, Reading, Seen
+from swiftwell.starting.list_reader import ListReader, LogView, QueryMode
 
 
 @dataclass(frozen=True, slots=True)
-class What:
+class ListActions:
     """What is to be done now."""
 
-    rows: dict[str, bytes] | None = None  # a list of another's that is new here
-    fresh: bool = False  # its reader has given a sign of life
-    ask: Ask = Ask.NOT  # begin a session at the service
-    stop: bool = False  # end ours
-    gave_way: bool = False  # to another reader
+    rows: dict[str, bytes] | None = None  # a new list that another router has read
+    reader_alive: bool = False  # its reader has sent a heartbeat
+    query: QueryMode = QueryMode.NONE  # start a session at the service
+    stop: bool = False  # end our session
+    stepped_down: bool = False  # another router is the reader now
 
 
 class ZoneList:
-    """`board` names the board; `rate`: questions a second of all who share it, while nobody reads."""
+    """`log_name` names the replicated log; `rate`: queries a second of all who share it without a reader."""
 
-    def __init__(self, node: FleetNode, board: str, rate: float, now: int) -> None:
-        self.node, self.board, self.lease = node, node.replicated_logs[board], node.writer_lease(board)
-        group = tuple(sorted((*self.board.others, node.settings.me)))
-        self.reading = Reading(node.settings.me, group, board, rate, node.settings.period_us, now)
-        self.rows: dict[str, bytes] = {}  # read by us, last
-        self._beat_at = 0
+    def __init__(self, node: FleetNode, log_name: str, rate: float, now: int) -> None:
+        self.node, self.log, self.lease = node, node.replicated_logs[log_name], node.writer_lease(log_name)
+        group = tuple(sorted((*self.log.others, node.settings.me)))
+        self.reader = ListReader(node.settings.me, group, log_name, rate, node.settings.period_us, now)
+        self.rows: dict[str, bytes] = {}  # last list that we read
+        self._heartbeat_at = 0
 
-    def look(self, now: int, wall_ms: int, running: bool) -> What:
-        """Now and then; `running`: a session of ours at the service goes on."""
-        board, reading = self.board, self.reading
+    def step(self, now: int, wall_ms: int, session_running: bool) -> ListActions:
+        """Called periodically; `session_running`: our session at the service is open."""
+        log, reader = self.log, self.reader
         rows = None
-        if board.changed:
-            board.changed = False
-            rows = None if board.is_writer else board.entries()
-        fresh = not board.is_writer and board.heartbeat_at > self._beat_at
-        if fresh:
-            self._beat_at = board.heartbeat_at
-        if self.lease.wanted != reading.reader:
-            self.node.set_lease_wanted(now, self.lease.name, reading.reader)
-        was, holds = reading.reader, self.lease.holds(now)
-        beat_at = board.heartbeat_at if board.generation else None
+        if log.changed:
+            log.changed = False
+            rows = None if log.is_writer else log.entries()
+        reader_alive = not log.is_writer and log.heartbeat_at > self._heartbeat_at
+        if reader_alive:
+            self._heartbeat_at = log.heartbeat_at
+        if self.lease.wanted != reader.is_reader:
+            self.node.set_lease_wanted(now, self.lease.name, reader.is_reader)
+        was_reader, holds_lease = reader.is_reader, self.lease.holds(now)
+        heartbeat_at = log.heartbeat_at if log.generation else None
         members = self.node.members
         living = None if members.local_health else frozenset(members.alive())
-        seen = Seen(
-            board.generation, not board.is_writer, beat_at, board.newer_seen_at, board.received_at, living
+        view = LogView(
+            log.generation, not log.is_writer, heartbeat_at, log.newer_seen_at, log.received_at, living
+        )
+        query = reader.step(now, holds_lease, view)
+        stepped_down = was_reader and not reader.is_reader
+        if session_running and not stepped_down and reader.is_reader:
+            if not log.is_writer:
+                self.write(now, wall_ms)  # another router's generation replaced ours: write a higher one
+            elif now - log.heartbeat_at >= log.period_us:
+                log.raise_heartbeat(now)
+        return ListActions(
+            rows, reader_alive, QueryMode.NONE if session_running else query, stepped_down, stepped_down
         )
-        ask = reading.look(now, holds, seen)
-        gave_way = was and not reading.reader
-        if running and not gave_way and reading.reader:
-            if not board.is_writer:
-                self.write(now, wall_ms)  # another edition came between: ours goes above it
-            elif now - board.heartbeat_at >= board.period_us:
-                board.raise_heartbeat(now)
-        return What(rows, fresh, Ask.NOT if running else ask, gave_way, gave_way)
 
-    def told(self, now: int, wall_ms: int, rows: dict[str, bytes]) -> None:
-        """The service has answered us; raises ValueError where the list can't be passed on."""
+    def on_service_list(self, now: int, wall_ms: int, rows: dict[str, bytes]) -> None:
+        """The service has answered us; raises ValueError where the list can't be replicated."""
         self.rows = rows
-        self.reading.answered()
+        self.reader.on_answer()
         self.write(now, wall_ms)
 
     def write(self, now: int, wall_ms: int) -> None:
-        """Put up what we read last; raises ValueError."""
-        self.board.write(now, wall_ms, self.rows)
+        """Write the list that we read last to the replicated log; raises ValueError."""
+        self.log.write(now, wall_ms, self.rows)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -292,7 +292,7 @@
     [
         ("return", recovery.Word),
         ("site", operator_commands.Words),
-        ("copy", copies.Word),
+        ("copy", copies.CopyMessage),
         ("row", list_follower.Row),
     ],
 )
