--- a/swiftwell/cli/sites.py
+++ b/swiftwell/cli/sites.py
@@ -17,7 +17,7 @@
 
 from swiftwell.cli.reading import or_exit
 from swiftwell.settings import sites as document
-from swiftwell.sites.plan import Demand, LossPlan, Place, Sites, differences, plans, sacrifice
+from swiftwell.sites.plan import Demand, LossPlan, Place, Sites, differences, plans, shedding_order
 
 FORM = 1  # of a saved plan
 WITHIN_S = 3.0  # s for a gateway to answer
@@ -112,7 +112,7 @@
     if as_json:
         click.echo(text.decode())
     else:
-        Console().print(table(found, sacrifice(told)))
+        Console().print(table(found, shedding_order(told)))
         for line in missing(found):
             click.echo(line)
     sys.exit(0 if all(one.kept_whole for one in found) else 1)
@@ -123,7 +123,7 @@
 def check(file: Path) -> None:
     """Check the document alone."""
     told = _sites(file)
-    click.echo(f"{file}: good; {len(told.places)} sites, refused first: {', '.join(sacrifice(told))}")
+    click.echo(f"{file}: good; {len(told.places)} sites, refused first: {', '.join(shedding_order(told))}")
 
 
 @sites.command()
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -50,8 +50,8 @@
 from swiftwell.http.http1 import Request, Response
 from swiftwell.http.server import Server
 from swiftwell.settings.site import Site, host_port
-from swiftwell.sites.admission import Rank
-from swiftwell.sites.health_observations import BOARD, Watch
+from swiftwell.sites.admission import ClassShare
+from swiftwell.sites.health_observations import LOG_PREFIX, SiteMonitor
 from swiftwell.starting.list_follower import STEP_INTERVAL_S, ListFollower
 from swiftwell.starting.orders import Orders
 from swiftwell.starting.ramp_share import RampShare, router_count
@@ -110,7 +110,7 @@
         self.fleet: FleetLink | None = None
         self.follower: ListFollower | None = None
         self.orders: Orders | None = None
-        self.watch: Watch | None = None
+        self.watch: SiteMonitor | None = None
         self._tasks: list[asyncio.Task] = []
         self._health: Server | None = None
         self.health_port = self.listener_port = 0
@@ -138,7 +138,7 @@
         """What happened at a worker."""
         if isinstance(what, ports.OrderEnd) and self.orders:
             self.orders.ended(what)
-        if isinstance(what, ports.Asked) and self.watch and self.watch.asked(what):
+        if isinstance(what, ports.Asked) and self.watch and self.watch.on_probe_result(what):
             return
         self.enqueue(what)
 
@@ -385,7 +385,7 @@
             self._tasks.append(asyncio.ensure_future(self.follower.run()))
         if fleet.sites:
             homes = [one.zone for one in fleet.member]
-            self.watch = Watch(
+            self.watch = SiteMonitor(
                 link, homes, self._ranks(), self.engine, self.clock, self.link.probe, self.log,
                 self._chance.getrandbits(32),
             )  # fmt: skip
@@ -415,16 +415,16 @@
         found = [(f"list/{zone}", shared)] if fleet.one_reader else []
         if fleet.sites:
             everybody = tuple(range(len(fleet.member)))
-            found += [(BOARD + name, everybody) for name in sorted({one.zone for one in fleet.member})]
+            found += [(LOG_PREFIX + name, everybody) for name in sorted({one.zone for one in fleet.member})]
         return tuple(found)
 
-    def _ranks(self) -> list[Rank]:
+    def _ranks(self) -> list[ClassShare]:
         """Classes in the order of sacrifice, without a plan: each the same part of the work."""
         fleet, classes = self.site.fleet, self.site.classes
         assert fleet
         named = [one for request_class in fleet.sacrifice for one in classes if one.name == request_class]
         rest = sorted((one for one in classes if one not in named), key=lambda one: (one.worth, one.name))
-        return [Rank(one.name, "", 1 / len(classes), 1.0) for one in (*rest, *named)]
+        return [ClassShare(one.name, "", 1 / len(classes), 1.0) for one in (*rest, *named)]
 
     @staticmethod
     async def _keep_looking(looks: list[Callable[[], None]]) -> None:
@@ -483,7 +483,7 @@
             return Response(200, {"content-type": "application/json"}, msgspec.json.encode(told) + b"\n")
         if request.target.startswith("/sites/") and request.method == "POST" and self.watch:
             site, _, what = request.target[7:].rpartition("/")
-            why = self.watch.order(site, what, request.headers.get("swiftwell-who", "unknown"))
+            why = self.watch.execute_command(site, what, request.headers.get("swiftwell-who", "unknown"))
             return Response(200 if not why else 404, {}, f"{why or 'ordered'}\n".encode())
         if request.target == "/metrics":
             from swiftwell.gateway.metrics import page  # a tenth of a start, for those who ask
--- a/swiftwell/proof/explore_sites.py
+++ b/swiftwell/proof/explore_sites.py
@@ -1,4 +1,5 @@
-"""Walks the return of a site: the real Conductor and Follower, leases that pass on, words that come late.
+"""Walks the return of a site: the real RecoveryCoordinator and RecoveryFollower, leases that pass on, words
+that come late.
 
 The lease is taken for exclusive here, as proof/explore walks that; what is walked is what conductors and
 followers make of it.  Breaches: a slice sooner than its time, a router that goes ahead by more than one or on
@@ -12,9 +13,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swiftwell.sites.recovery import HOLD_US, SETTLE_US, SLICES, Conductor, Follower, Seen, Word
-
-GOOD, BAD = Seen(20, 20), Seen(20, 5)
+from swiftwell.sites.recovery import (
+    HOLD_US,
+    SETTLE_US,
+    SLICES,
+    RecoveryCoordinator,
+    RecoveryFollower,
+    RecoveryProgress,
+    SliceObservation,
+)
+
+GOOD, BAD = SliceObservation(20, 20), SliceObservation(20, 5)
 STEP = SETTLE_US // 2  # us of a jump in time: half of what a slice takes
 MOST_WINDOWS = 400  # good windows after which a return counts as stuck: three times what the slowest takes
 
@@ -37,10 +46,10 @@
     now: int = 0
     token: int = 0
     holder: int = -1
-    conductor: Conductor | None = None
-    board: Word | None = None
-    late: Word | None = None  # an earlier word, still on its way
-    followers: list[Follower] = field(default_factory=list)
+    conductor: RecoveryCoordinator | None = None
+    board: RecoveryProgress | None = None
+    late: RecoveryProgress | None = None  # an earlier word, still on its way
+    followers: list[RecoveryFollower] = field(default_factory=list)
     risen_at: int = -SETTLE_US  # when a slice was last added
     leases: int = 0
     jumps: int = 0
@@ -52,8 +61,8 @@
 class ReturnModel:
     """Routers 0.. follow; whoever has the lease conducts.  Planted faults replace the classes."""
 
-    conductor: type[Conductor] = Conductor
-    follower: type[Follower] = Follower
+    conductor: type[RecoveryCoordinator] = RecoveryCoordinator
+    follower: type[RecoveryFollower] = RecoveryFollower
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
@@ -97,29 +106,29 @@
             new.now, new.jumps = state.now + STEP, state.jumps + 1
             yield "time passes", new
 
-    def _window(self, state: ReturnState, seen: Seen) -> ReturnState:
+    def _window(self, state: ReturnState, seen: SliceObservation) -> ReturnState:
         new = copy.deepcopy(state)
         assert new.conductor
         before = new.conductor.slice
-        new.conductor.look(new.now, seen)
+        new.conductor.step(new.now, seen)
         after = new.conductor.slice
         if after > before:
             if before and new.now - state.risen_at < SETTLE_US:
                 new.breach = f"slice {after} after {new.now - state.risen_at} us"
             new.risen_at = new.now
-        new.late, new.board = state.board or state.late, new.conductor.word(0)
+        new.late, new.board = state.board or state.late, new.conductor.progress(0)
         if not self._ends(new):
             new.breach = f"no way out of slice {after}"
         return new
 
-    def _hear(self, state: ReturnState, name: int, word: Word) -> ReturnState:
+    def _hear(self, state: ReturnState, name: int, word: RecoveryProgress) -> ReturnState:
         new = copy.deepcopy(state)
         one = new.followers[name]
-        before, token = one.shown, one.token
-        one.look(word, 0)
-        if one.shown > before + 1:
-            new.breach = f"router {name} went from slice {before} to {one.shown} at once"
-        elif one.shown > before and word.token < token:
+        before, token = one.visible_slices, one.token
+        one.step(word, 0)
+        if one.visible_slices > before + 1:
+            new.breach = f"router {name} went from slice {before} to {one.visible_slices} at once"
+        elif one.visible_slices > before and word.token < token:
             new.breach = f"router {name} followed token {word.token} after {token}"
         return new
 
@@ -132,9 +141,9 @@
             if one.done:
                 return True
             now += max(STEP, HOLD_US // 8)
-            one.look(now, GOOD)
+            one.step(now, GOOD)
         return one.slice == len(SLICES) and one.done
 
 
 def _fields(one: Any) -> tuple[Any, ...]:
-    return tuple(sorted((name, str(value)) for name, value in vars(one).items() if name != "waits"))
+    return tuple(sorted((name, str(value)) for name, value in vars(one).items() if name != "wait_reason"))
--- a/swiftwell/sites/__init__.py
+++ b/swiftwell/sites/__init__.py
@@ -1,5 +1,5 @@
-"""The loss of a site: a plan worked out beforehand, what tells a loss, what is refused first, a paced return.
+"""The loss of a site: a plan made beforehand, failure detection, load shedding, and a gradual return.
 
-Decisions without I/O, on the ground of `fleet` and `starting`.  Worker choice stays the module's: sites enter
-through which workers it is shown and what is admitted ahead of it.
+Decisions without I/O, built on `fleet` and `starting`.  The choice of a worker stays with the module: sites
+affect only which workers it sees and which calls are admitted before it.
 """
--- a/swiftwell/sites/admission.py
+++ b/swiftwell/sites/admission.py
@@ -1,9 +1,10 @@
-"""What is refused ahead of the module while a site is lost, in the order of the plan.  Decisions, no I/O.
+"""Load shedding ahead of the module while a site is lost, in the order of the plan.  Decisions, no I/O.
 
-Each router sees a part of the calls only, so each refuses the same part of each class, drawn from the
-call's own key: repeats of a call meet the same draw, and all routers together come to the plan's parts
-without talking.  The plan's parts are a start; what survivors can bear shows in how calls of the kept classes
-fare, and the order is cut deeper, class by class, where they are not in time, and given back slowly.
+Each router sees only some of the calls, so each refuses the same share of each class, drawn from the hash of
+the call's key: repeats of a call get the same result, and all routers together reach the plan's shares
+without communication.  The plan's shares are a starting point.  What the surviving sites can bear shows in
+how many calls of the admitted classes finish in time: when too few do, the order is cut deeper, class by
+class, and restored slowly.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 
 import xxhash
 
-DEEPER = 0.15  # of the whole order, that is cut further when the kept ones are not in time
-BACK = 0.03  # and given back in a step when they are
-WANTED = 0.85  # part of the kept calls that has to be in time: one late call of a dozen is chance
-LEAST = 20  # calls that a step goes by
-STEP_US = 500_000  # us between two steps
-MOST_WAIT_MS = 4_000  # that a refused client is sent away for, spread from half of it
+CUT_STEP = 0.15  # share of the whole order that is cut in addition when admitted calls are late
+RESTORE_STEP = 0.03  # share that is restored in a step when they are in time
+MIN_IN_TIME_SHARE = 0.85  # share of admitted calls that must be in time: one late call in a dozen is chance
+MIN_CALLS = 20  # calls that a step is based on
+STEP_INTERVAL_US = 500_000  # us between two steps
+MAX_RETRY_AFTER_MS = 4_000  # longest wait that a refused client is given; waits are spread from half of it
 
 
 @dataclass(frozen=True, slots=True)
-class Rank:
-    """A class of a tenant in the order of sacrifice."""
+class ClassShare:
+    """A class of a tenant in the shedding order."""
 
     request_class: str
     tenant: str
@@ -32,62 +33,69 @@
 
 
 class Admission:
-    """`order`: the first to be refused first; shares sum to 1.  `cut` is a place on it: 0 refuses nobody."""
+    """Decides which calls are admitted while a site is lost.
 
-    def __init__(self, order: Sequence[Rank]) -> None:
+    `order`: the classes to be refused first come first; their shares sum to 1.  `cut` is the share of the
+    order that is refused, from its start: 0 refuses nobody.
+    """
+
+    def __init__(self, order: Sequence[ClassShare]) -> None:
         self.order = tuple(order)
-        self.plan_cut = self._place(order)
+        self.plan_cut = self._planned_cut(order)
         self.cut = 0.0
         self.active = False
-        self._at = 0
-        self._kept = self._in_time = 0
+        self._stepped_at = 0
+        self._calls = self._in_time = 0
 
     @staticmethod
-    def _place(order: Sequence[Rank]) -> float:
-        """How much of the order, by share of work, the plan refuses."""
-        return sum(one.share * (1 - one.admitted) for one in order)
+    def _planned_cut(order: Sequence[ClassShare]) -> float:
+        """Return how much of the order, by share of work, the plan refuses."""
+        return sum(entry.share * (1 - entry.admitted) for entry in order)
 
     def begin(self, now: int) -> None:
-        """A site is lost: from here the plan holds."""
+        """A site is lost: the plan applies from now on."""
         if not self.active:
-            self.active, self.cut, self._at = True, self.plan_cut, now
-            self._kept = self._in_time = 0
+            self.active, self.cut, self._stepped_at = True, self.plan_cut, now
+            self._calls = self._in_time = 0
 
     def end(self) -> None:
         """All sites serve."""
         self.active, self.cut = False, 0.0
 
-    def part(self, request_class: str, tenant: str) -> float:
-        """Part of a class's calls that is admitted now: the order is cut from its first on."""
+    def admitted_share(self, request_class: str, tenant: str) -> float:
+        """Return the share of a class's calls that is admitted now: the order is cut from its start."""
         left = self.cut
-        for one in self.order:
-            if one.request_class == request_class and one.tenant in ("", tenant):  # no tenant: all of them
-                return 1.0 if one.share <= 0 else min(1.0, max(0.0, 1 - left / one.share))
-            left = max(0.0, left - one.share)
-        return 1.0  # a class that the plan does not know is not refused by it
+        for entry in self.order:
+            if entry.request_class == request_class and entry.tenant in ("", tenant):  # "": all tenants
+                return 1.0 if entry.share <= 0 else min(1.0, max(0.0, 1 - left / entry.share))
+            left = max(0.0, left - entry.share)
+        return 1.0  # a class that is not in the plan is not refused by it
 
     def admits(self, request_class: str, tenant: str, key: str) -> bool:
-        """Whether a call is taken; the same for each repeat under its key, at every router."""
+        """Return whether a call is admitted; the same for each repeat under its key, at every router."""
         if not self.active:
             return True
-        part = self.part(request_class, tenant)
-        return part >= 1 or xxhash.xxh64_intdigest(key.encode()) < part * 2**64
+        share = self.admitted_share(request_class, tenant)
+        return share >= 1 or xxhash.xxh64_intdigest(key.encode()) < share * 2**64
 
-    def wait_ms(self, key: str) -> int:
-        """How long a refused client stays away: spread, so that the return is no second wave."""
-        return MOST_WAIT_MS // 2 + xxhash.xxh64_intdigest(key.encode(), 1) % (MOST_WAIT_MS // 2)
+    def retry_after_ms(self, key: str) -> int:
+        """Return how long a refused client waits; spread, so that the retries do not come all at once."""
+        return MAX_RETRY_AFTER_MS // 2 + xxhash.xxh64_intdigest(key.encode(), 1) % (MAX_RETRY_AFTER_MS // 2)
 
-    def ended(self, in_time: bool) -> None:
-        """A call that was taken has ended."""
-        self._kept += 1
+    def record_call(self, in_time: bool) -> None:
+        """An admitted call has ended."""
+        self._calls += 1
         self._in_time += in_time
 
-    def look(self, now: int) -> bool:
-        """A step: deeper at once, back slowly, never above the plan's own cut while a site is lost."""
-        if not self.active or now - self._at < STEP_US or self._kept < LEAST:
+    def step(self, now: int) -> bool:
+        """Adjust the cut: deeper at once, restored slowly, never below the plan's cut while a site is lost.
+
+        Returns whether the cut has changed.
+        """
+        if not self.active or now - self._stepped_at < STEP_INTERVAL_US or self._calls < MIN_CALLS:
             return False
-        fine = self._in_time >= WANTED * self._kept
+        in_time = self._in_time >= MIN_IN_TIME_SHARE * self._calls
         before = self.cut
-        self.cut = max(self.plan_cut, self.cut - BACK) if fine else min(1.0, self.cut + DEEPER)
-        self._at, self._kept, self._in_time = now, 0, 0
+        self.cut = max(self.plan_cut, self.cut - RESTORE_STEP) if in_time else min(1.0, self.cut + CUT_STEP)
+        self._stepped_at, self._calls, self._in_time = now, 0, 0
         return self.cut != before
--- a/swiftwell/sites/operator_commands.py
+++ b/swiftwell/sites/operator_commands.py
@@ -1,7 +1,8 @@
-"""One router's part in the loss and return of sites: judge, admission, conductor, follower joined.  No I/O.
+"""One router's part in the loss and return of sites.  No I/O.
 
-Routers tell each other little: whoever doubts a site asks some others whether it serves them; whoever
-conducts a return is told by the others how the slices do.  `step` is all of it, twice a second.
+Joins failure detection, admission, the coordination of a return and operators' commands.  Routers exchange
+few messages: a router that suspects a site asks some others whether it serves them, and the coordinator of a
+return gets reports of how the slices do.  `step` runs all of it, twice a second.
 """
 
 from __future__ import annotations
@@ -14,151 +15,179 @@
 from msgspec import Struct
 
 from swiftwell.interface import Status
-from swiftwell.sites.admission import Admission, Rank
-from swiftwell.sites.failure_detection import SLOW_TIMES, WINDOW_US, Change, Judge, Look, State
-from swiftwell.sites.recovery import FRESH_US, Conductor, Follower, Order, Seen, Word, shown
-
-ASKED = 5  # others who are asked of a site in doubt: more than can all be wrong by one bad way
-USUAL = 0.05  # weight of one answer in the mean that is usual for its class
-BAD = (Status.CONNECT_FAILED, Status.RESET, Status.TIMEOUT)
-PROBES = 3  # workers of a site in doubt or lost that are asked in a window: as many as a judgement wants
-
-
-class Say(IntEnum):
-    """What routers say of sites."""
-
-    ASK = 0  # are you served there?
-    SERVES = 1  # so many of our calls are, at members' word
+from swiftwell.sites.admission import Admission, ClassShare
+from swiftwell.sites.failure_detection import (
+    SLOW_FACTOR,
+    WINDOW_US,
+    SiteFailureDetector,
+    SiteState,
+    StateChange,
+    WindowObservation,
+)
+from swiftwell.sites.recovery import (
+    FRESH_US,
+    OperatorCommand,
+    RecoveryCoordinator,
+    RecoveryFollower,
+    RecoveryProgress,
+    SliceObservation,
+    visible_workers,
+)
+
+MEMBERS_ASKED = 5  # others asked about a suspected site: one bad network path can't make them all wrong
+LATENCY_WEIGHT = 0.05  # weight of one answer in the mean that is the expected latency of its class
+FAILURES = (Status.CONNECT_FAILED, Status.RESET, Status.TIMEOUT)
+PROBES = 3  # workers of a suspected or lost site probed in a window: as many outcomes as a verdict needs
+
+
+class MessageKind(IntEnum):
+    """Kind of a message about a site."""
+
+    ASK = 0  # does the site serve you?
+    SERVES = 1  # it serves the sender's calls
     FAILS = 2
-    REPORT = 3  # to the conductor: how the slices did
-    ORDER = 4  # an operator's word, given to one router and passed on to all
+    REPORT = 3  # to the coordinator: how the slices did
+    COMMAND = 4  # an operator's command, given to one router and forwarded to all
 
 
-class Words(Struct, frozen=True, array_like=True):
-    """Something said of a site."""
+class SiteMessage(Struct, frozen=True, array_like=True):
+    """A message about a site."""
 
-    say: Say
+    kind: MessageKind
     site: str
     calls: int = 0
     served: int = 0
-    times_usual: float = 1.0
-    fell: int = 0
-    what: str = ""  # of an order
-    who: str = ""
+    relative_latency: float = 1.0
+    workers_failed: int = 0
+    command: str = ""
+    operator: str = ""
 
 
-ORDERS = (*(one.value for one in Order), "drain", "release")
+COMMANDS = (*(command.value for command in OperatorCommand), "drain", "release")
 
 
 @dataclass(slots=True)
-class _Count:
+class _Outcomes:
     good: int = 0
     slow: int = 0
     bad: int = 0
-    times: float = 0.0  # sum of answers over their usual
+    latency_sum: float = 0.0  # sum of latencies, each divided by the expected one
     failed: set[str] = field(default_factory=set)
     worked: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class Out:
+class Actions:
     """What is to be done."""
 
-    sends: list[tuple[int, Words]] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    hidden: dict[str, frozenset[str]] = field(default_factory=dict)  # sites of which only these are shown
-    probes: list[str] = field(default_factory=list)  # workers to be asked whether they are there
-    wants: dict[str, bool] = field(default_factory=dict)  # site: whether we want the lease of its return
-    words: dict[str, Word] = field(default_factory=dict)  # site: what we put up as its conductor
-    notes: list[tuple[str, str]] = field(default_factory=list)  # site: why its slices changed
+    sends: list[tuple[int, SiteMessage]] = field(default_factory=list)
+    changes: list[StateChange] = field(default_factory=list)
+    visible: dict[str, frozenset[str]] = field(default_factory=dict)  # site: the only workers to be shown
+    probes: list[str] = field(default_factory=list)  # workers to be probed
+    leases_wanted: dict[str, bool] = field(default_factory=dict)  # site: whether we want its return's lease
+    progress: dict[str, RecoveryProgress] = field(default_factory=dict)  # site: what we write as coordinator
+    slice_notes: list[tuple[str, str]] = field(default_factory=list)  # site: why its slices changed
 
 
-class Desk:
+class SiteController:
     """`zones`: each member's site, by its position in the roster."""
 
-    def __init__(self, me: int, zones: Sequence[str], order: Sequence[Rank], seed: int, now: int) -> None:
+    def __init__(
+        self, me: int, zones: Sequence[str], order: Sequence[ClassShare], seed: int, now: int
+    ) -> None:
         self.me, self.zones = me, tuple(zones)
         names = tuple(sorted(set(zones)))
-        self.judge = Judge(names, zones[me], now)
+        self.detector = SiteFailureDetector(names, zones[me], now)
         self.admission = Admission(order)
-        self._chance = random.Random(f"{seed}/{me}/sites")
-        self._usual: dict[str, float] = {}
-        self._now_counts = {name: _Count() for name in names}
-        self._heard: dict[str, set[int]] = {name: set() for name in names}
-        self._followers = {name: Follower() for name in names}
-        self._conductors: dict[str, Conductor] = {}
-        self._reports: dict[str, list[Seen]] = {name: [] for name in names}
-        self._orders: dict[str, Order] = {}
-        self._listed = dict.fromkeys(names, 0)  # the most workers that a site ever had on our list
+        self._random = random.Random(f"{seed}/{me}/sites")
+        self._expected_latency: dict[str, float] = {}
+        self._window_outcomes = {name: _Outcomes() for name in names}
+        self._members_heard: dict[str, set[int]] = {name: set() for name in names}
+        self._followers = {name: RecoveryFollower() for name in names}
+        self._coordinators: dict[str, RecoveryCoordinator] = {}
+        self._reports: dict[str, list[SliceObservation]] = {name: [] for name in names}
+        self._commands: dict[str, OperatorCommand] = {}
+        self._max_listed = dict.fromkeys(names, 0)  # most workers of a site that our list ever had
         self._next_at = now + WINDOW_US
-        self.ordered: list[Change] = []  # by operators' words that others passed on
+        self.commanded_changes: list[StateChange] = []  # by operators' commands that others forwarded
 
-    # What happens.
+    # Events.
 
-    def attempt(self, site: str, worker: str, request_class: str, status: Status, latency_us: int) -> None:
+    def record_attempt(
+        self, site: str, worker: str, request_class: str, status: Status, latency_us: int
+    ) -> None:
         """One of our attempts at a worker of a site has ended."""
-        one = self._now_counts.get(site)
-        if one is None:
+        outcomes = self._window_outcomes.get(site)
+        if outcomes is None:
             return
-        if status in BAD:
-            one.bad += 1
-            one.failed.add(worker)
+        if status in FAILURES:
+            outcomes.bad += 1
+            outcomes.failed.add(worker)
         elif status is Status.OK:
-            usual = self._usual.get(request_class)
-            if usual and latency_us > SLOW_TIMES * usual:
-                one.slow += 1
+            expected = self._expected_latency.get(request_class)
+            if expected and latency_us > SLOW_FACTOR * expected:
+                outcomes.slow += 1
             else:
-                one.good += 1
-                one.worked.add(worker)
-            one.times += min(SLOW_TIMES, latency_us / usual) if usual else 1.0
-            self._usual[request_class] = latency_us if not usual else usual + USUAL * (latency_us - usual)
+                outcomes.good += 1
+                outcomes.worked.add(worker)
+            outcomes.latency_sum += min(SLOW_FACTOR, latency_us / expected) if expected else 1.0
+            self._expected_latency[request_class] = (
+                latency_us if not expected else expected + LATENCY_WEIGHT * (latency_us - expected)
+            )
         elif status is Status.FULL:
-            one.good += 1  # it is there, and says so
-            one.times += 1.0
+            outcomes.good += 1  # the worker is alive and reports that it is full
+            outcomes.latency_sum += 1.0
 
-    def probed(self, site: str, worker: str, answered: bool) -> None:
-        """A worker of a site that the module keeps away from was asked whether it is there.
+    def record_probe(self, site: str, worker: str, answered: bool) -> None:
+        """A worker of a site that the module avoids was probed.
 
-        That it is says nothing of how it serves, so it counts only where nothing else is seen of the site.
+        An answer tells nothing about how the worker serves, so it counts only where nothing else is seen of
+        the site.
         """
-        if one := self._now_counts.get(site):
-            one.good += answered and self.judge.state(site) in (State.LOST, State.APART)
-            one.bad += not answered
+        if outcomes := self._window_outcomes.get(site):
+            outcomes.good += answered and self.detector.state(site) in (SiteState.LOST, SiteState.ISOLATED)
+            outcomes.bad += not answered
             if not answered:
-                one.failed.add(worker)
+                outcomes.failed.add(worker)
 
-    def heard(self, member: int) -> None:
-        """A member spoke to us."""
-        self._heard[self.zones[member]].add(member)
+    def record_contact(self, member: int) -> None:
+        """A member sent us a message."""
+        self._members_heard[self.zones[member]].add(member)
 
-    def take(self, now: int, sender: int, word: Words) -> list[tuple[int, Words]]:
-        """A member's word; what is said back."""
-        if word.site not in self._now_counts:
+    def handle(self, now: int, sender: int, message: SiteMessage) -> list[tuple[int, SiteMessage]]:
+        """Handle a member's message; returns the replies."""
+        if message.site not in self._window_outcomes:
             return []
-        match word.say:
-            case Say.ASK:
-                says = self.judge.says(word.site)
-                if says is None:
+        match message.kind:
+            case MessageKind.ASK:
+                serves = self.detector.own_opinion(message.site)
+                if serves is None:
                     return []
-                return [(sender, Words(Say.SERVES if says else Say.FAILS, word.site))]
-            case Say.SERVES | Say.FAILS:
-                self.judge.heard(now, sender, word.site, word.say is Say.SERVES)
-            case Say.REPORT:
-                seen = Seen(word.calls, word.served, word.times_usual, word.fell)
-                self._reports[word.site].append(seen)
-            case Say.ORDER if word.what in ORDERS:
-                self.ordered += filter(None, [self.order(now, word.site, word.what, word.who)])
+                return [
+                    (sender, SiteMessage(MessageKind.SERVES if serves else MessageKind.FAILS, message.site))
+                ]
+            case MessageKind.SERVES | MessageKind.FAILS:
+                self.detector.record_opinion(now, sender, message.site, message.kind is MessageKind.SERVES)
+            case MessageKind.REPORT:
+                observation = SliceObservation(
+                    message.calls, message.served, message.relative_latency, message.workers_failed
+                )
+                self._reports[message.site].append(observation)
+            case MessageKind.COMMAND if message.command in COMMANDS:
+                self.commanded_changes += filter(
+                    None, [self.execute(now, message.site, message.command, message.operator)]
+                )
         return []
 
-    def order(self, now: int, site: str, what: str, who: str) -> Change | None:
-        """An operator's word: hold, hurry, off or none for a return; drain, release for the site."""
-        if what == "drain":
-            return self.judge.drain(now, site, who)
-        if what == "release":
-            return self.judge.release(now, site, who)
-        self._orders[site] = Order(what)
-        if one := self._conductors.get(site):
-            one.told(Order(what))
+    def execute(self, now: int, site: str, command: str, operator: str) -> StateChange | None:
+        """Execute an operator's command: hold, hurry, off, none for a return; drain, release for the site."""
+        if command == "drain":
+            return self.detector.drain(now, site, operator)
+        if command == "release":
+            return self.detector.release(now, site, operator)
+        self._commands[site] = OperatorCommand(command)
+        if coordinator := self._coordinators.get(site):
+            coordinator.set_command(OperatorCommand(command))
         return None
 
     # Twice a second.
@@ -169,112 +198,146 @@
         wall_ms: int,
         workers: dict[str, list[str]],
         living: Collection[int],
-        held: dict[str, int],
-        boards: dict[str, tuple[Word | None, int | None, int]],
-    ) -> Out | None:
-        """`workers`: of each site, as listed; `held`: token of each site's lease that we hold; `boards`: the
-        word on each site's board, how long its writer was silent, and who that is.  None until the window is
-        over.
+        held_leases: dict[str, int],
+        progress_logs: dict[str, tuple[RecoveryProgress | None, int | None, int]],
+    ) -> Actions | None:
+        """Evaluate one window; returns None until the window is over.
+
+        `workers`: of each site, as listed; `held_leases`: token of each site's lease that we hold;
+        `progress_logs`: the progress in each site's replicated log, how long its writer was silent, and who
+        that is.
         """
         if now < self._next_at:
             return None
         self._next_at = now + WINDOW_US
-        looks, counts = self._looks(living, workers)
-        out = Out(changes=[*self.ordered, *self.judge.look(now, looks)])
-        self.ordered = []
-        for site in self.judge.sites:
-            state = self.judge.state(site)
-            word, silent, writer = boards.get(site, (None, None, -1))
-            fresh = word is not None and silent is not None and silent <= FRESH_US
-            if state is State.UP and fresh and not word.done and word.token > self._followers[site].after:
-                out.changes += filter(None, [self.judge.join(now, site)])
-                state = self.judge.state(site)
-            if state is State.RETURNING:
+        observations, outcomes = self._close_window(living, workers)
+        actions = Actions(changes=[*self.commanded_changes, *self.detector.step(now, observations)])
+        self.commanded_changes = []
+        for site in self.detector.sites:
+            state = self.detector.state(site)
+            progress, silent_us, writer = progress_logs.get(site, (None, None, -1))
+            fresh = progress is not None and silent_us is not None and silent_us <= FRESH_US
+            if (
+                state is SiteState.UP
+                and fresh
+                and not progress.done
+                and progress.token > self._followers[site].previous_token
+            ):
+                actions.changes += filter(None, [self.detector.join_return(now, site)])
+                state = self.detector.state(site)
+            if state is SiteState.RETURNING:
                 follower = self._followers[site]
-                word = word if word and word.token > follower.after else None  # else of an earlier return
-                slices = follower.look(word, silent)
-                if token := held.get(site, 0):
-                    self._conduct(now, wall_ms, site, counts[site], word, token, out)
+                # Progress with an older token is of an earlier return.
+                progress = progress if progress and progress.token > follower.previous_token else None
+                slices = follower.step(progress, silent_us)
+                if token := held_leases.get(site, 0):
+                    self._coordinate(now, wall_ms, site, outcomes[site], progress, token, actions)
                 else:
-                    self._conductors.pop(site, None)
+                    self._coordinators.pop(site, None)
                     self._reports[site].clear()
-                    if word and word.done and fresh:
-                        self._up(now, site, out)
-                out.hidden[site] = frozenset(shown(workers.get(site, []), slices))
-                if writer >= 0 and writer != self.me and (counts[site].good or counts[site].bad):
-                    out.sends.append((writer, self._report(site, counts[site])))
+                    if progress and progress.done and fresh:
+                        self._complete_return(now, site, actions)
+                actions.visible[site] = frozenset(visible_workers(workers.get(site, []), slices))
+                if writer >= 0 and writer != self.me and (outcomes[site].good or outcomes[site].bad):
+                    actions.sends.append((writer, self._report(site, outcomes[site])))
             else:
-                self._conductors.pop(site, None)
+                self._coordinators.pop(site, None)
                 self._reports[site].clear()
-                if state in (State.LOST, State.DRAINED):
-                    self._followers[site] = Follower(self._followers[site].token)
-                    out.hidden[site] = frozenset()
-                elif state is State.DOUBT:
-                    others = [one for one in living if one != self.me]
-                    asked = self._chance.sample(others, min(ASKED, len(others)))
-                    out.sends += [(one, Words(Say.ASK, site)) for one in asked]
-            out.wants[site] = state is State.RETURNING
-            if state in (State.LOST, State.DOUBT, State.APART) and (there := workers.get(site)):
-                out.probes += self._chance.sample(there, min(PROBES, len(there)))
-        away = any(self.judge.state(site) in (State.LOST, State.SLOW) for site in self.judge.sites)
-        back = any(self.judge.state(site) is State.RETURNING for site in self.judge.sites)
-        if away:
+                if state in (SiteState.LOST, SiteState.DRAINED):
+                    self._followers[site] = RecoveryFollower(self._followers[site].token)
+                    actions.visible[site] = frozenset()
+                elif state is SiteState.SUSPECTED:
+                    others = [member for member in living if member != self.me]
+                    asked = self._random.sample(others, min(MEMBERS_ASKED, len(others)))
+                    actions.sends += [(member, SiteMessage(MessageKind.ASK, site)) for member in asked]
+            actions.leases_wanted[site] = state is SiteState.RETURNING
+            if state in (SiteState.LOST, SiteState.SUSPECTED, SiteState.ISOLATED) and (
+                listed := workers.get(site)
+            ):
+                actions.probes += self._random.sample(listed, min(PROBES, len(listed)))
+        any_lost = any(
+            self.detector.state(site) in (SiteState.LOST, SiteState.SLOW) for site in self.detector.sites
+        )
+        any_returning = any(self.detector.state(site) is SiteState.RETURNING for site in self.detector.sites)
+        if any_lost:
             self.admission.begin(now)
-        elif not back:
+        elif not any_returning:
             self.admission.end()
-        self.admission.look(now)
-        return out
+        self.admission.step(now)
+        return actions
 
-    def _looks(
+    def _close_window(
         self, living: Collection[int], workers: dict[str, list[str]]
-    ) -> tuple[dict[str, Look], dict[str, _Count]]:
-        counts, looks, alive = self._now_counts, {}, set(living)
-        for site, one in counts.items():
-            others = [n for n, zone in enumerate(self.zones) if zone == site and n != self.me]
-            heard = len(self._heard[site] & alive)
+    ) -> tuple[dict[str, WindowObservation], dict[str, _Outcomes]]:
+        window_outcomes, observations, alive = self._window_outcomes, {}, set(living)
+        for site, outcomes in window_outcomes.items():
+            others = [member for member, zone in enumerate(self.zones) if zone == site and member != self.me]
+            members_heard = len(self._members_heard[site] & alive)
             listed = len(workers.get(site, ()))
-            self._listed[site] = max(self._listed[site], listed)
-            looks[site] = Look(
-                one.good, one.slow, one.bad, heard, len(others), frozenset(one.failed - one.worked), listed,
-                bool(self._listed[site]) and not listed and bool(workers),
+            self._max_listed[site] = max(self._max_listed[site], listed)
+            observations[site] = WindowObservation(
+                outcomes.good, outcomes.slow, outcomes.bad, members_heard, len(others),
+                frozenset(outcomes.failed - outcomes.worked), listed,
+                bool(self._max_listed[site]) and not listed and bool(workers),
             )  # fmt: skip
-            self._heard[site] = set()
-        self._now_counts = {name: _Count() for name in counts}
-        return looks, counts
+            self._members_heard[site] = set()
+        self._window_outcomes = {name: _Outcomes() for name in window_outcomes}
+        return observations, window_outcomes
 
     @staticmethod
-    def _report(site: str, one: _Count) -> Words:
-        answered = one.good + one.slow
-        times = one.times / answered if answered else 1.0
-        return Words(Say.REPORT, site, answered + one.bad, one.good, round(times, 3))
-
-    def _conduct(
-        self, now: int, wall_ms: int, site: str, count: _Count, word: Word | None, token: int, out: Out
+    def _report(site: str, outcomes: _Outcomes) -> SiteMessage:
+        answered = outcomes.good + outcomes.slow
+        relative_latency = outcomes.latency_sum / answered if answered else 1.0
+        return SiteMessage(
+            MessageKind.REPORT, site, answered + outcomes.bad, outcomes.good, round(relative_latency, 3)
+        )
+
+    def _coordinate(
+        self,
+        now: int,
+        wall_ms: int,
+        site: str,
+        outcomes: _Outcomes,
+        progress: RecoveryProgress | None,
+        token: int,
+        actions: Actions,
     ) -> None:
-        """The lease of its return is ours."""
-        one = self._conductors.get(site)
-        if one is None:  # the lease was won, and not only renewed
-            one = self._conductors[site] = Conductor(now, word, token, self.judge.flaps(now, site))
-            if site in self._orders:
-                one.told(self._orders[site])
-        one.token = token
-        mine = self._report(site, count)
-        seen = [Seen(mine.calls, mine.served, mine.times_usual, mine.fell), *self._reports[site]]
+        """Coordinate the return of a site while its lease is ours."""
+        coordinator = self._coordinators.get(site)
+        if coordinator is None:  # the lease is new, not renewed
+            coordinator = self._coordinators[site] = RecoveryCoordinator(
+                now, progress, token, self.detector.flaps(now, site)
+            )
+            if site in self._commands:
+                coordinator.set_command(self._commands[site])
+        coordinator.token = token
+        own = self._report(site, outcomes)
+        observations = [
+            SliceObservation(own.calls, own.served, own.relative_latency, own.workers_failed),
+            *self._reports[site],
+        ]
         self._reports[site].clear()
-        calls = sum(one_.calls for one_ in seen)
-        late = sum(one_.times_usual * one_.calls for one_ in seen) / calls if calls else 1.0
-        whole = Seen(calls, sum(s.served for s in seen), late, sum(s.fell for s in seen))
-        if why := one.look(now, whole):
-            out.notes.append((site, why))
-        elif one.waits:
-            out.notes.append((site, one.waits))
-            one.waits = ""
-        out.words[site] = one.word(wall_ms)
-        if out.words[site].done:
-            self._up(now, site, out)
-
-    def _up(self, now: int, site: str, out: Out) -> None:
-        if change := self.judge.returned(now, site):
-            out.changes.append(change)
+        calls = sum(report.calls for report in observations)
+        relative_latency = (
+            sum(report.relative_latency * report.calls for report in observations) / calls if calls else 1.0
+        )
+        total = SliceObservation(
+            calls,
+            sum(report.served for report in observations),
+            relative_latency,
+            sum(report.workers_failed for report in observations),
+        )
+        if reason := coordinator.step(now, total):
+            actions.slice_notes.append((site, reason))
+        elif coordinator.wait_reason:
+            actions.slice_notes.append((site, coordinator.wait_reason))
+            coordinator.wait_reason = ""
+        actions.progress[site] = coordinator.progress(wall_ms)
+        if actions.progress[site].done:
+            self._complete_return(now, site, actions)
+
+    def _complete_return(self, now: int, site: str, actions: Actions) -> None:
+        if change := self.detector.return_completed(now, site):
+            actions.changes.append(change)
             follower = self._followers[site]
-            follower.after = follower.token  # its words are of a return that is over
+            follower.previous_token = follower.token  # progress up to this token is of a completed return
--- a/swiftwell/sites/recovery.py
+++ b/swiftwell/sites/recovery.py
@@ -1,10 +1,10 @@
 """The return of a site, in slices of its workers.  Decisions, no I/O.
 
-One router conducts it, under the lease of the site's name; where it stands is on a board, so an heir goes
-on from there, or holds still.  A slice is shown when the one before it has served as warm workers do for long
-enough; at the first sign of falling over one slice is taken back.  A site that was lost again of late gets
-more time for each.  A router goes one slice further at a time, and only on a fresh word of the conductor's:
-nobody goes ahead on an old one, nobody jumps.
+One router coordinates it, under the lease of the site's name.  Its progress is in a replicated log, so that a
+successor continues from there, or pauses.  A slice is made visible when the one before it has served as well
+as warm workers for long enough; at the first sign of overload one slice is taken back.  A site that was lost
+again recently gets more time for each slice.  A router shows one further slice at a time, and only on recent
+progress from the coordinator: no router advances on old progress or skips a slice.
 """
 
 from __future__ import annotations
@@ -21,147 +21,154 @@
     0.5,
     0.75,
     1.0,
-)  # parts of a site's workers: at most doubled, so that a warm half bears it
-SETTLE_US = 4_000_000  # us that a slice has to serve before the next: longer than the span of rule 4
-SERVED = 0.95  # part of its calls that a slice has to serve
-LIKE_WARM = 2.0  # times the usual answer at most
-FALLING = 0.7  # part served, below which a slice is taken back
-ENOUGH = 10  # calls that a slice must have had: a quiet slice tells nothing
-FRESH_US = 3_000_000  # us for which the conductor's word counts
-HOLD_US = 30_000_000  # us that a slice which had to be taken back waits before it is tried again
+)  # shares of a site's workers: at most doubled, so that the warm half can carry the load
+SETTLE_US = 4_000_000  # us that a slice has to serve before the next: longer than the interval of rule 4
+MIN_SERVED_SHARE = 0.95  # share of its calls that a slice has to serve
+MAX_RELATIVE_LATENCY = 2.0  # latency against the expected one up to which a slice counts as warm
+OVERLOAD_SERVED_SHARE = 0.7  # served share below which a slice is taken back
+MIN_CALLS = 10  # calls that a slice must have had: fewer give no evidence
+FRESH_US = 3_000_000  # us for which the coordinator's progress is valid
+HOLD_US = 30_000_000  # us before a slice that was taken back is tried again
 
 
-class Order(Enum):
-    """What an operator said."""
+class OperatorCommand(Enum):
+    """An operator's command for a return."""
 
     NONE = "none"
     HOLD = "hold"  # no further slice
-    HURRY = "hurry"  # half of the time for each
-    OFF = "off"  # nothing of it is shown
+    HURRY = "hurry"  # half of the time for each slice
+    OFF = "off"  # no slice is visible
 
 
-class Word(Struct, frozen=True, array_like=True):
-    """Where a return stands, as the conductor puts it up."""
+class RecoveryProgress(Struct, frozen=True, array_like=True):
+    """Progress of a return, as the coordinator writes it to the replicated log."""
 
-    slice: int  # how many of SLICES are shown; 0 none
-    since_ms: int  # wall: for people only
-    token: int  # of the conductor's lease
-    order: str = "none"
+    slice: int  # how many of SLICES are visible; 0 none
+    since_ms: int  # wall-clock time, for people only
+    token: int  # of the coordinator's lease
+    command: str = "none"
     flaps: int = 0
-    done: bool = False  # the last slice has served its time
+    done: bool = False  # the last slice has served long enough
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """How the slices shown so far did since the last look, over all that the conductor hears of."""
+class SliceObservation:
+    """How the visible slices did since the last step, over all reports that the coordinator has."""
 
     calls: int = 0
     served: int = 0
-    times_usual: float = 1.0  # mean answer against warm workers elsewhere
-    fell: int = 0  # workers of it that were pushed over
+    relative_latency: float = 1.0  # mean latency against warm workers elsewhere
+    workers_failed: int = 0  # workers of the slices that were overloaded and failed
 
 
-class Conductor:
-    """Moves one site's return on while it holds the lease.  Made anew with each lease won."""
+class RecoveryCoordinator:
+    """Advances one site's return while it holds the lease.  A new one is made for each lease obtained."""
 
-    def __init__(self, now: int, word: Word | None, token: int, flaps: int = 0) -> None:
-        """`word`: what the last conductor put up, None where the return begins."""
-        self.slice = word.slice if word else 0
-        self.flaps = max(flaps, word.flaps if word else 0)
-        self.order = Order(word.order) if word else Order.NONE
+    def __init__(self, now: int, progress: RecoveryProgress | None, token: int, flaps: int = 0) -> None:
+        """`progress`: written by the last coordinator, None where the return begins."""
+        self.slice = progress.slice if progress else 0
+        self.flaps = max(flaps, progress.flaps if progress else 0)
+        self.command = OperatorCommand(progress.command) if progress else OperatorCommand.NONE
         self.token = token
-        self.since = now  # an heir gives the slice its whole time again
+        self.since = now  # a successor gives the slice its whole time again
         self._calls = self._served = 0
-        self._late = 0.0
-        self._not_before = 0
+        self._latency_sum = 0.0
+        self._retry_at = 0
         self._done = False
-        self.waits = ""  # why the last judgement let nothing follow
+        self.wait_reason = ""  # why the last evaluation added no slice
 
     def settle_us(self) -> int:
-        """How long a slice has to serve."""
-        span = SETTLE_US << min(self.flaps, 5)
-        return span // 2 if self.order is Order.HURRY else span
-
-    def told(self, order: Order) -> None:
-        """An operator's word."""
-        self.order = order
-
-    def look(self, now: int, seen: Seen) -> str:
-        """One step; returns why the slice changed, empty where it did not."""
-        self._calls += seen.calls
-        self._served += seen.served
-        self._late += seen.times_usual * seen.calls
-        if self.order is Order.OFF:
-            return self._to(now, 0, "called off") if self.slice else ""
-        if self.slice and (seen.fell or self._falling()):
-            self._not_before = now + (HOLD_US << min(self.flaps, 3))
+        """Return how long a slice has to serve."""
+        settle = SETTLE_US << min(self.flaps, 5)
+        return settle // 2 if self.command is OperatorCommand.HURRY else settle
+
+    def set_command(self, command: OperatorCommand) -> None:
+        """Apply an operator's command."""
+        self.command = command
+
+    def step(self, now: int, observation: SliceObservation) -> str:
+        """Evaluate one window; returns why the number of slices changed, empty where it did not."""
+        self._calls += observation.calls
+        self._served += observation.served
+        self._latency_sum += observation.relative_latency * observation.calls
+        if self.command is OperatorCommand.OFF:
+            return self._set_slice(now, 0, "called off") if self.slice else ""
+        if self.slice and (observation.workers_failed or self._is_overloaded()):
+            self._retry_at = now + (HOLD_US << min(self.flaps, 3))
             self.flaps += 1
-            return self._to(now, self.slice - 1, f"{self._served} of {self._calls} served, {seen.fell} fell")
+            return self._set_slice(
+                now,
+                self.slice - 1,
+                f"{self._served} of {self._calls} served, {observation.workers_failed} workers failed",
+            )
         if self.slice and now - self.since < self.settle_us():
             return ""
-        fine, said = self._like_warm(), f"{self._served} of {self._calls} served"
+        warm, summary = self._serves_like_warm(), f"{self._served} of {self._calls} served"
         if self.slice == len(SLICES):
-            self._done = fine
-        elif self.order is not Order.HOLD and now >= self._not_before and (fine or not self.slice):
-            return self._to(now, self.slice + 1, said if self.slice else "begins")
-        if self.slice and self._calls >= ENOUGH and not self._done:
-            # Not as warm workers yet, as while it warms up: judged anew by what comes from here on.
-            self.waits = f"slice {self.slice} waits: {said}, {self._late / self._calls:.1f} times the usual"
-            self.since, self._calls, self._served, self._late = now, 0, 0, 0.0
+            self._done = warm
+        elif self.command is not OperatorCommand.HOLD and now >= self._retry_at and (warm or not self.slice):
+            return self._set_slice(now, self.slice + 1, summary if self.slice else "begins")
+        if self.slice and self._calls >= MIN_CALLS and not self._done:
+            # The slice is not warm yet: evaluate it anew by the calls from here on.
+            self.wait_reason = (
+                f"slice {self.slice} waits: {summary}, "
+                f"{self._latency_sum / self._calls:.1f} times the expected latency"
+            )
+            self.since, self._calls, self._served, self._latency_sum = now, 0, 0, 0.0
         return ""
 
-    def _falling(self) -> bool:
-        return self._calls >= ENOUGH and self._served < FALLING * self._calls
+    def _is_overloaded(self) -> bool:
+        return self._calls >= MIN_CALLS and self._served < OVERLOAD_SERVED_SHARE * self._calls
 
-    def _like_warm(self) -> bool:
+    def _serves_like_warm(self) -> bool:
         return (
-            self._calls >= ENOUGH
-            and self._served >= SERVED * self._calls
-            and self._late <= LIKE_WARM * self._calls
+            self._calls >= MIN_CALLS
+            and self._served >= MIN_SERVED_SHARE * self._calls
+            and self._latency_sum <= MAX_RELATIVE_LATENCY * self._calls
         )
 
-    def _to(self, now: int, slice_: int, why: str) -> str:
+    def _set_slice(self, now: int, slice_: int, reason: str) -> str:
         self.slice, self.since, self._done = slice_, now, False
         self._calls = self._served = 0
-        self._late = 0.0
-        return f"slice {slice_}: {why}"
+        self._latency_sum = 0.0
+        return f"slice {slice_}: {reason}"
 
     @property
     def done(self) -> bool:
-        """Whether the last slice has served its time: the site is up."""
+        """Whether the last slice has served long enough: the site is up."""
         return self._done
 
-    def word(self, wall_ms: int) -> Word:
-        """What is put up."""
-        return Word(self.slice, wall_ms, self.token, self.order.value, self.flaps, self._done)
+    def progress(self, wall_ms: int) -> RecoveryProgress:
+        """Return the progress to write to the replicated log."""
+        return RecoveryProgress(self.slice, wall_ms, self.token, self.command.value, self.flaps, self._done)
 
 
-class Follower:
-    """What one router shows of a returning site."""
+class RecoveryFollower:
+    """How many slices of a returning site one router shows."""
 
-    def __init__(self, after: int = 0) -> None:
-        """`after`: the token of an earlier return; words up to it are not of this one."""
-        self.shown = 0
-        self.after = self.token = after
+    def __init__(self, previous_token: int = 0) -> None:
+        """`previous_token`: last token of an earlier return; progress up to it is not of this one."""
+        self.visible_slices = 0
+        self.previous_token = self.token = previous_token
 
-    def look(self, word: Word | None, silent_us: int | None) -> int:
-        """How many slices to show; `silent_us`: since the board's last sign of life.
+    def step(self, progress: RecoveryProgress | None, silent_us: int | None) -> int:
+        """Return how many slices to show; `silent_us`: since the last heartbeat of the replicated log.
 
-        A word that is old lets nobody go on: what is shown stays.  It never grows by more than one at a time,
-        and a conductor with an older token than one heard of is not followed.
+        Old progress changes nothing: what is visible stays.  The number never grows by more than one at a
+        time, and a coordinator with an older token than the newest one seen is not followed.
         """
-        if word is None or silent_us is None or silent_us > FRESH_US:
-            return self.shown
-        if word.token < self.token or word.token <= self.after:
-            return self.shown
-        self.token = word.token
-        self.shown = min(word.slice, self.shown + 1, len(SLICES))
-        return self.shown
+        if progress is None or silent_us is None or silent_us > FRESH_US:
+            return self.visible_slices
+        if progress.token < self.token or progress.token <= self.previous_token:
+            return self.visible_slices
+        self.token = progress.token
+        self.visible_slices = min(progress.slice, self.visible_slices + 1, len(SLICES))
+        return self.visible_slices
 
 
-def shown(workers: list[str], slices: int) -> list[str]:
-    """The workers of a site that so many slices show: the same ones at every router, more with each slice."""
+def visible_workers(workers: list[str], slices: int) -> list[str]:
+    """Return the workers of a site in that many slices: the same at every router, more with each slice."""
     if slices <= 0 or not workers:
         return []
-    part = SLICES[min(slices, len(SLICES)) - 1]
-    return sorted(workers)[: math.ceil(part * len(workers))]
+    share = SLICES[min(slices, len(SLICES)) - 1]
+    return sorted(workers)[: math.ceil(share * len(workers))]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The plan of a loss, how a loss is known, what is refused first, and the return in slices.  No I/O."""
+"""The plan for a loss, failure detection, load shedding, and the return in slices.  No I/O."""
 
 import itertools
 import json
@@ -15,10 +15,19 @@
 from swiftwell.proof.explore_sites import ReturnModel, Scope
 from swiftwell.settings import sites as document
 from swiftwell.settings.document import SettingsError
-from swiftwell.sites.admission import LEAST, STEP_US, Admission, Rank
-from swiftwell.sites.failure_detection import DOUBT_US, FLAP_US, GOOD_US, MOVES, WINDOW_US, Judge, Look, State
+from swiftwell.sites.admission import MIN_CALLS, STEP_INTERVAL_US, Admission, ClassShare
+from swiftwell.sites.failure_detection import (
+    FLAP_US,
+    GOOD_US,
+    SUSPECT_US,
+    TRANSITIONS,
+    WINDOW_US,
+    SiteFailureDetector,
+    SiteState,
+    WindowObservation,
+)
 from swiftwell.sites.plan import (
-    HEADROOM,
+    MAX_UTILIZATION,
     Demand,
     Place,
     Sites,
@@ -27,25 +36,25 @@
     inversions,
     plan,
     plans,
-    sacrifice,
+    shedding_order,
 )
 from swiftwell.sites.recovery import (
     FRESH_US,
     HOLD_US,
     SETTLE_US,
     SLICES,
-    Conductor,
-    Follower,
-    Order,
-    Seen,
-    Word,
-    shown,
+    OperatorCommand,
+    RecoveryCoordinator,
+    RecoveryFollower,
+    RecoveryProgress,
+    SliceObservation,
+    visible_workers,
 )
 
 EXAMPLE = Path(__file__).parents[1] / "examples" / "sites.kdl"
 
 
-def three(rate=10.0, memory=10_000.0, order=("low", "high")):
+def three_sites(rate=10.0, memory=10_000.0, order=("low", "high")):
     places = tuple(Place(name, 4.0, memory) for name in "abc")
     demands = tuple(
         Demand(request_class, "", name, rate, 0.1, worth, 5, 100.0)
@@ -55,39 +64,43 @@
     return Sites(places, demands, order)
 
 
-def test_with_nothing_lost_everybody_is_served_at_home():
-    sites = three()
+def test_with_no_site_lost_all_calls_are_served_at_their_origin():
+    sites = three_sites()
     prices = dict.fromkeys(itertools.permutations("abc", 2), 0.1)
     sites = Sites(sites.places, sites.demands, sites.order, prices)
-    told = plan(sites, ())
-    assert told.kept_whole and told.worth == 1.0 and told.missing_work == 0
-    assert all(one.origin == one.place for one in told.flows)
-
-
-def test_when_a_site_is_lost_the_lowest_class_gives_way_first_and_the_highest_is_whole():
-    told = plan(three(rate=15.0), ("b",))  # 9 s of work a second come, 6.4 are left
-    assert told.admitted["high", ""] == 1.0 and 0.4 < told.admitted["low", ""] < 0.5
-    assert all(part <= HEADROOM + 1e-6 for part in told.work.values()) and "b" not in told.work
-    assert told.missing_work == pytest.approx(9 - HEADROOM * 8, abs=1e-3)
-    two = plan(three(rate=15.0), ("a", "b"))
-    assert two.admitted["low", ""] == 0 and two.admitted["high", ""] == pytest.approx(3.2 / 4.5, abs=1e-3)
-    assert inversions(three(), two.admitted) == 0
-    assert inversions(three(), {("low", ""): 1, ("high", ""): 0.5}) == 1
+    result = plan(sites, ())
+    assert result.kept_whole and result.worth == 1.0 and result.missing_work == 0
+    assert all(flow.origin == flow.place for flow in result.flows)
+
+
+def test_when_a_site_is_lost_the_lowest_class_is_refused_first_and_the_highest_fully_served():
+    result = plan(three_sites(rate=15.0), ("b",))  # 9 s of work a second arrive, capacity for 6.4 is left
+    assert result.admitted["high", ""] == 1.0 and 0.4 < result.admitted["low", ""] < 0.5
+    assert all(used <= MAX_UTILIZATION + 1e-6 for used in result.work.values()) and "b" not in result.work
+    assert result.missing_work == pytest.approx(9 - MAX_UTILIZATION * 8, abs=1e-3)
+    two_lost = plan(three_sites(rate=15.0), ("a", "b"))
+    assert two_lost.admitted["low", ""] == 0 and two_lost.admitted["high", ""] == pytest.approx(
+        3.2 / 4.5, abs=1e-3
+    )
+    assert inversions(three_sites(), two_lost.admitted) == 0
+    assert inversions(three_sites(), {("low", ""): 1, ("high", ""): 0.5}) == 1
 
 
-def test_memory_limits_what_a_survivor_can_take_and_the_plan_says_what_is_missing():
-    told = plan(three(rate=5.0, memory=1_200.0), ("c",))  # each class has 500 MB of copies at a site
-    assert told.admitted["high", ""] == 1.0 and told.admitted["low", ""] < 1
-    assert all(mb <= 1_200.1 for mb in told.memory.values()) and told.missing_mb == pytest.approx(600, abs=1)
+def test_memory_limits_what_a_surviving_site_takes_and_the_plan_states_what_is_missing():
+    result = plan(three_sites(rate=5.0, memory=1_200.0), ("c",))  # each class has 500 MB of copies at a site
+    assert result.admitted["high", ""] == 1.0 and result.admitted["low", ""] < 1
+    assert all(mb <= 1_200.1 for mb in result.memory.values()) and result.missing_mb == pytest.approx(
+        600, abs=1
+    )
 
 
-def test_who_may_serve_whom_is_kept_and_classes_without_an_order_go_by_worth_for_work():
-    sites = three(rate=15.0, order=())
-    assert sacrifice(sites) == ["low", "high"]
+def test_allowed_places_are_kept_and_classes_without_an_order_are_ranked_by_worth_per_work():
+    sites = three_sites(rate=15.0, order=())
+    assert shedding_order(sites) == ["low", "high"]
     bound = Sites(sites.places, sites.demands, (), {}, {"a": ("a",)})
-    told = plan(bound, ("a",))
-    assert {one.origin for one in told.flows} == {"b", "c"}
-    assert [one.request_class for one in admission(bound, told)] == ["low", "high"]
+    result = plan(bound, ("a",))
+    assert {flow.origin for flow in result.flows} == {"b", "c"}
+    assert [entry.request_class for entry in admission(bound, result)] == ["low", "high"]
 
 
 @settings(max_examples=40, deadline=None)
@@ -102,39 +115,44 @@
     st.lists(st.floats(0.5, 30), min_size=3, max_size=3),
     st.floats(300, 20_000),
 )  # fmt: skip
-def test_no_plan_asks_more_than_survivors_have_or_serves_a_lower_class_before_a_higher(loads, work, memory):
+def test_no_plan_exceeds_the_capacity_left_or_serves_a_lower_class_before_a_higher_one(loads, work, memory):
     places = tuple(Place(name, amount, memory) for name, amount in zip("abc", work, strict=True))
-    demands = tuple(Demand(b, "", at, rate, w, worth, 3, 90.0) for b, at, rate, w, worth in loads)
+    demands = tuple(
+        Demand(request_class, "", place, rate, work_s, worth, 3, 90.0)
+        for request_class, place, rate, work_s, worth in loads
+    )
     sites = Sites(places, demands)
-    for told in plans(sites):
+    for result in plans(sites):
         for place in places:
-            if place.name in told.lost:
-                assert place.name not in told.work
+            if place.name in result.lost:
+                assert place.name not in result.work
             else:
-                assert told.work[place.name] <= HEADROOM + 1e-3
-                assert told.memory[place.name] <= memory * 1.001 + 1
+                assert result.work[place.name] <= MAX_UTILIZATION + 1e-3
+                assert result.memory[place.name] <= memory * 1.001 + 1
         for demand in demands:
-            which = demand.request_class, demand.place
-            sent = sum(one.rate for one in told.flows if (one.band, one.origin) == which)
-            came = sum(one.rate for one in demands if (one.request_class, one.place) == which)
-            assert sent <= came * 1.001 + 1e-3
-    # Without limits of memory the order is strict: a class is cut only where those before it get nothing.
-    roomy = Sites(tuple(Place(p.name, p.work, 1e9) for p in places), demands)
-    for told in plans(roomy):
-        order = sacrifice(roomy)
-        cut = [request_class for request_class in order if told.admitted[request_class, ""] < 0.999]
+            class_and_origin = demand.request_class, demand.place
+            sent = sum(flow.rate for flow in result.flows if (flow.band, flow.origin) == class_and_origin)
+            arriving = sum(
+                other.rate for other in demands if (other.request_class, other.place) == class_and_origin
+            )
+            assert sent <= arriving * 1.001 + 1e-3
+    # Without memory limits the order is strict: a class is cut only where those before it get nothing.
+    unlimited = Sites(tuple(Place(place.name, place.work, 1e9) for place in places), demands)
+    for result in plans(unlimited):
+        order = shedding_order(unlimited)
+        cut = [request_class for request_class in order if result.admitted[request_class, ""] < 0.999]
         for earlier, later in itertools.pairwise(order):
             if later in cut:
-                assert told.admitted[earlier, ""] < 0.02, (order, told.admitted)
+                assert result.admitted[earlier, ""] < 0.02, (order, result.admitted)
 
 
-def test_the_example_is_planned_and_bad_documents_say_where(tmp_path):
+def test_the_example_is_planned_and_errors_in_documents_name_the_place(tmp_path):
     runner = CliRunner()
     out = tmp_path / "plan.json"
-    told = runner.invoke(main, ["sites", "plan", str(EXAMPLE), "--out", str(out), "--json"])
-    found = json.loads(told.stdout)["plans"]
-    assert told.exit_code == 1 and len(found) == 7 and found[0]["lost"] == []
-    assert all(dict((a[0], a[2]) for a in one["admitted"])["consigna"] > 0.99 for one in found)
+    planned = runner.invoke(main, ["sites", "plan", str(EXAMPLE), "--out", str(out), "--json"])
+    rows = json.loads(planned.stdout)["plans"]
+    assert planned.exit_code == 1 and len(rows) == 7 and rows[0]["lost"] == []
+    assert all(dict((entry[0], entry[2]) for entry in row["admitted"])["consigna"] > 0.99 for row in rows)
     assert runner.invoke(main, ["sites", "show", str(out)]).exit_code == 0
     other = tmp_path / "sites.kdl"
     other.write_text(EXAMPLE.read_text().replace("count=6", "count=1"))
@@ -144,299 +162,321 @@
     assert runner.invoke(main, ["sites", "diff", str(out), str(out)]).output.strip() == "no difference"
     site = 'site "a" { workers "k" count=1 cores=1 memory-mb=1; load "x" rate=1 work-ms=1 }'
     other.write_text(site + '\nsacrifice "y"\n')
-    wrong = runner.invoke(main, ["sites", "check", str(other)])
-    assert wrong.exit_code == 2 and "at least two" in wrong.output and "class 'y'" in wrong.output
+    invalid = runner.invoke(main, ["sites", "check", str(other)])
+    assert invalid.exit_code == 2 and "at least two" in invalid.output and "class 'y'" in invalid.output
     assert runner.invoke(main, ["sites", "show", str(other)]).exit_code == 2
     with pytest.raises(SettingsError, match="can't be read"):
         document.load(tmp_path / "none.kdl")
-    assert differences([], plans(three(), 0)) == ["nothing lost: new"]
+    assert differences([], plans(three_sites(), 0)) == ["nothing lost: new"]
 
 
-# --- knowing it -----------------------------------------------------------------------------------------
+# --- failure detection ---------------------------------------------------------------------------------
 
-GOOD, LATE = (Look(heard=2, members=2, listed=4, **{how: 10}) for how in ("good", "slow"))
-BAD = Look(bad=10, members=2, listed=4, failed=frozenset("wxyz"))
-ANY = st.sampled_from([GOOD, BAD, LATE, Look()])
+GOOD, LATE = (
+    WindowObservation(members_heard=2, members=2, listed=4, **{outcome: 10}) for outcome in ("good", "slow")
+)
+BAD = WindowObservation(bad=10, members=2, listed=4, failed=frozenset("wxyz"))
+ANY = st.sampled_from([GOOD, BAD, LATE, WindowObservation()])
 SECOND = 1_000_000
 
 
-class View:
-    """One router's judge, fed a window at a time."""
+class DetectorView:
+    """One router's failure detector, fed a window at a time."""
 
     def __init__(self, sites="abc", home="a"):
-        self.judge, self.now, self.changes = Judge(tuple(sites), home, 0), 0, []
+        self.detector, self.now, self.changes = SiteFailureDetector(tuple(sites), home, 0), 0, []
 
-    def go(self, seconds, **seen):
+    def run(self, seconds, **observed):
         for _ in range(round(seconds * SECOND / WINDOW_US)):
             self.now += WINDOW_US
-            looks = dict.fromkeys(self.judge.sites, GOOD) | seen
-            self.changes += self.judge.look(self.now, looks)
+            observations = dict.fromkeys(self.detector.sites, GOOD) | observed
+            self.changes += self.detector.step(self.now, observations)
         return self
 
     def states(self):
-        return [self.judge.state(name) for name in self.judge.sites]
+        return [self.detector.state(name) for name in self.detector.sites]
 
 
 def test_a_site_that_vanishes_is_lost_within_two_seconds_and_returns_only_after_it_serves_again():
-    view = View().go(2)
-    view.judge.heard(view.now, 5, "b", False)
-    view.go(2, b=BAD)
-    assert view.states() == [State.UP, State.LOST, State.UP]
-    assert [one.now for one in view.changes] == [State.DOUBT, State.LOST]
-    assert "bad 10" in view.changes[-1].why and "members heard 0/2" in view.changes[-1].why
-    view.go(1.5)
-    assert view.judge.state("b") is State.LOST
-    view.go(1.5)
-    assert view.judge.state("b") is State.RETURNING
-    assert view.judge.returned(view.now, "b").now is State.UP and view.judge.returned(view.now, "b") is None
-
-
-def test_a_hiccup_few_calls_and_one_bad_worker_lose_no_site():
-    view = View().go(1).go(0.5, b=BAD).go(1)
-    assert view.states() == [State.UP] * 3
-    view.go(20, b=Look(good=7, bad=3, heard=2, members=2), c=Look(bad=1, members=2))
-    # Three in ten fail; a call every half a second is looked at over two seconds, and is one worker's.
-    assert view.states() == [State.UP, State.UP, State.DOUBT]
-    view.go(20, c=replace(BAD, failed=frozenset("w")))
-    assert view.judge.state("c") is State.DOUBT  # one worker of four is no site
-
-
-def test_a_site_that_the_list_no_longer_names_is_lost_and_comes_back_in_slices():
-    view = View()
-    view.judge.heard(view.now, 5, "b", False)
-    view.go(2, b=Look(members=2, gone=True))
-    assert view.judge.state("b") is State.LOST and "none is listed" in view.changes[-1].why
-    view.go(4)
-    assert view.judge.state("b") is State.RETURNING
-
-
-def test_others_that_are_served_there_stop_a_judgement_and_old_words_do_not():
-    view = View()
+    view = DetectorView().run(2)
+    view.detector.record_opinion(view.now, 5, "b", False)
+    view.run(2, b=BAD)
+    assert view.states() == [SiteState.UP, SiteState.LOST, SiteState.UP]
+    assert [change.after for change in view.changes] == [SiteState.SUSPECTED, SiteState.LOST]
+    assert "bad 10" in view.changes[-1].reason and "members heard 0/2" in view.changes[-1].reason
+    view.run(1.5)
+    assert view.detector.state("b") is SiteState.LOST
+    view.run(1.5)
+    assert view.detector.state("b") is SiteState.RETURNING
+    assert (
+        view.detector.return_completed(view.now, "b").after is SiteState.UP
+        and view.detector.return_completed(view.now, "b") is None
+    )
+
+
+def test_a_hiccup_few_calls_or_one_bad_worker_do_not_count_as_a_lost_site():
+    view = DetectorView().run(1).run(0.5, b=BAD).run(1)
+    assert view.states() == [SiteState.UP] * 3
+    view.run(
+        20,
+        b=WindowObservation(good=7, bad=3, members_heard=2, members=2),
+        c=WindowObservation(bad=1, members=2),
+    )
+    # In b, three in ten fail; in c, one call in 0.5 s is merged over 2 s, and shows one worker only.
+    assert view.states() == [SiteState.UP, SiteState.UP, SiteState.SUSPECTED]
+    view.run(20, c=replace(BAD, failed=frozenset("w")))
+    assert view.detector.state("c") is SiteState.SUSPECTED  # one worker of four is not the site
+
+
+def test_a_site_that_is_no_longer_listed_is_lost_and_returns_in_slices():
+    view = DetectorView()
+    view.detector.record_opinion(view.now, 5, "b", False)
+    view.run(2, b=WindowObservation(members=2, gone=True))
+    assert view.detector.state("b") is SiteState.LOST and "none is listed" in view.changes[-1].reason
+    view.run(4)
+    assert view.detector.state("b") is SiteState.RETURNING
+
+
+def test_opinions_of_routers_that_are_served_prevent_a_loss_and_old_opinions_do_not():
+    view = DetectorView()
     for _ in range(12):
         for member in (4, 5, 6):
-            view.judge.heard(view.now, member, "b", True)
-        view.judge.heard(view.now, 7, "b", False)
-        view.go(0.5, b=BAD)
-    assert view.judge.state("b") is State.DOUBT  # our way to it, not the site
-    view.go(6, b=BAD)
-    assert view.judge.state("b") is State.LOST
-
-
-def test_a_router_that_is_cut_off_does_not_think_that_the_world_died():
-    view = View("abcd").go(1).go(6, b=BAD, c=BAD, d=BAD)
-    assert view.states() == [State.UP, State.APART, State.APART, State.APART]
-    view.go(4)
-    assert view.states() == [State.UP] * 4
-    # Workers of two sites died, but their members speak to us: no cut.
-    dead = replace(BAD, heard=2)
-    view.go(4, b=dead, c=dead, d=dead)  # nobody else said a word of them: three times as long
-    assert view.states() == [State.UP, State.LOST, State.LOST, State.LOST]
-
-
-def test_a_site_that_answers_too_late_is_slow_and_one_that_flaps_is_trusted_less():
-    view = View().go(3, b=LATE)
-    assert view.judge.state("b") is State.SLOW
-    view.go(3)
-    assert view.judge.state("b") is State.UP
+            view.detector.record_opinion(view.now, member, "b", True)
+        view.detector.record_opinion(view.now, 7, "b", False)
+        view.run(0.5, b=BAD)
+    assert view.detector.state("b") is SiteState.SUSPECTED  # our path to it failed, not the site
+    view.run(6, b=BAD)
+    assert view.detector.state("b") is SiteState.LOST
+
+
+def test_a_router_that_is_cut_off_does_not_declare_the_other_sites_lost():
+    view = DetectorView("abcd").run(1).run(6, b=BAD, c=BAD, d=BAD)
+    assert view.states() == [SiteState.UP, SiteState.ISOLATED, SiteState.ISOLATED, SiteState.ISOLATED]
+    view.run(4)
+    assert view.states() == [SiteState.UP] * 4
+    # Workers of the other sites died, but their members send messages: we are not cut off.
+    workers_dead = replace(BAD, members_heard=2)
+    view.run(4, b=workers_dead, c=workers_dead, d=workers_dead)  # no opinions of others: three times as long
+    assert view.states() == [SiteState.UP, SiteState.LOST, SiteState.LOST, SiteState.LOST]
+
+
+def test_a_site_that_answers_too_late_is_slow_and_flaps_are_counted():
+    view = DetectorView().run(3, b=LATE)
+    assert view.detector.state("b") is SiteState.SLOW
+    view.run(3)
+    assert view.detector.state("b") is SiteState.UP
     for _ in range(4):
-        view.go(4, b=BAD).go(4)
-        assert view.judge.state("b") is State.RETURNING
-        view.judge.returned(view.now, "b")
-    assert view.judge.flaps(view.now, "b") == 3
-    assert view.judge.flaps(view.now + FLAP_US, "b") == 0
-
-
-def test_only_a_router_that_the_site_never_served_joins_a_return_on_a_conductors_word():
-    """One router that was alone with its judgement hid a site from all that it served."""
-    view = View()
-    assert view.judge.join(0, "b").now is State.RETURNING and view.judge.join(0, "b") is None
-    view = View().go(1)
-    assert view.judge.join(view.now, "b") is None and view.judge.state("b") is State.UP
+        view.run(4, b=BAD).run(4)
+        assert view.detector.state("b") is SiteState.RETURNING
+        view.detector.return_completed(view.now, "b")
+    assert view.detector.flaps(view.now, "b") == 3
+    assert view.detector.flaps(view.now + FLAP_US, "b") == 0
+
+
+def test_only_a_router_that_the_site_never_served_joins_a_coordinated_return():
+    """One router with a wrong view of a site would hide the site from all routers that it serves."""
+    view = DetectorView()
+    assert (
+        view.detector.join_return(0, "b").after is SiteState.RETURNING
+        and view.detector.join_return(0, "b") is None
+    )
+    view = DetectorView().run(1)
+    assert view.detector.join_return(view.now, "b") is None and view.detector.state("b") is SiteState.UP
 
 
-def test_an_operator_takes_a_site_out_and_back():
-    view = View()
-    assert view.judge.drain(0, "b", "ops").why == "by ops" and view.judge.drain(0, "b", "ops") is None
-    view.go(5, b=Look())
-    assert view.judge.state("b") is State.DRAINED
-    assert view.judge.release(view.now, "b", "ops").now is State.RETURNING
-    assert view.judge.release(view.now, "b", "ops") is None
+def test_an_operator_drains_and_releases_a_site():
+    view = DetectorView()
+    assert (
+        view.detector.drain(0, "b", "ops").reason == "by ops" and view.detector.drain(0, "b", "ops") is None
+    )
+    view.run(5, b=WindowObservation())
+    assert view.detector.state("b") is SiteState.DRAINED
+    assert view.detector.release(view.now, "b", "ops").after is SiteState.RETURNING
+    assert view.detector.release(view.now, "b", "ops") is None
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(ANY, ANY, st.booleans()), max_size=120))
-def test_only_the_moves_of_the_table_happen_and_a_lost_site_never_stays_so_while_it_serves(windows):
-    view = View()
-    for b, c, said in windows:
-        view.judge.heard(view.now, 5, "b", said)
-        view.go(WINDOW_US / SECOND, b=b, c=c)
-    for one in view.changes:
-        assert one.now in MOVES[one.was] and one.why
-    view.go((GOOD_US + DOUBT_US) / SECOND + 2)
-    assert all(state in (State.UP, State.RETURNING) for state in view.states())
+def test_only_listed_transitions_happen_and_a_site_that_serves_does_not_stay_lost(windows):
+    view = DetectorView()
+    for b, c, opinion in windows:
+        view.detector.record_opinion(view.now, 5, "b", opinion)
+        view.run(WINDOW_US / SECOND, b=b, c=c)
+    for change in view.changes:
+        assert change.after in TRANSITIONS[change.before] and change.reason
+    view.run((GOOD_US + SUSPECT_US) / SECOND + 2)
+    assert all(state in (SiteState.UP, SiteState.RETURNING) for state in view.states())
 
 
 # --- the return -----------------------------------------------------------------------------------------
 
-WARM = Seen(calls=20, served=20)
+WARM = SliceObservation(calls=20, served=20)
 
 
-def test_slices_come_one_by_one_when_the_last_one_serves_and_the_whole_takes_its_time():
-    one, now, words = Conductor(0, None, 7), 0, []
-    while not one.done and now < 60 * SECOND:
+def test_slices_are_added_one_by_one_after_the_last_one_has_served_for_its_time():
+    coordinator, now, steps = RecoveryCoordinator(0, None, 7), 0, []
+    while not coordinator.done and now < 60 * SECOND:
         now += SECOND // 2
-        if why := one.look(now, WARM):
-            words.append((now, one.slice, why))
-    assert [slice_ for _, slice_, _ in words] == [1, 2, 3, 4, 5]
-    gaps = [b[0] - a[0] for a, b in itertools.pairwise(words)]
-    assert all(gap >= SETTLE_US for gap in gaps) and one.done
-    assert one.word(5) == Word(5, 5, 7, done=True)
+        if reason := coordinator.step(now, WARM):
+            steps.append((now, coordinator.slice, reason))
+    assert [slice_ for _, slice_, _ in steps] == [1, 2, 3, 4, 5]
+    gaps = [b[0] - a[0] for a, b in itertools.pairwise(steps)]
+    assert all(gap >= SETTLE_US for gap in gaps) and coordinator.done
+    assert coordinator.progress(5) == RecoveryProgress(5, 5, 7, done=True)
     workers = [f"w{n:02}" for n in range(16)]
-    sizes = [len(shown(workers, n)) for n in range(6)]
-    assert sizes == [0, 2, 4, 8, 12, 16] and set(shown(workers, 2)) <= set(shown(workers, 3))
+    sizes = [len(visible_workers(workers, n)) for n in range(6)]
+    assert sizes == [0, 2, 4, 8, 12, 16] and set(visible_workers(workers, 2)) <= set(
+        visible_workers(workers, 3)
+    )
     assert all(b <= 2 * a for a, b in itertools.pairwise(sizes[1:]))
 
 
-@pytest.mark.parametrize("bad", [Seen(20, 10), Seen(20, 20, fell=1)], ids=["fails", "a worker fell"])
-def test_at_the_first_sign_of_falling_over_a_slice_is_taken_back_and_waits(bad):
-    one, now = Conductor(0, None, 1), 0
-    while one.slice < 3:
+@pytest.mark.parametrize(
+    "bad",
+    [SliceObservation(20, 10), SliceObservation(20, 20, workers_failed=1)],
+    ids=["fails", "a worker failed"],
+)
+def test_at_the_first_sign_of_overload_a_slice_is_taken_back_and_waits(bad):
+    coordinator, now = RecoveryCoordinator(0, None, 1), 0
+    while coordinator.slice < 3:
         now += SECOND // 2
-        one.look(now, WARM)
-    before = one.settle_us()
-    assert "slice 2" in one.look(now + 1, bad) and one.settle_us() == 2 * before
+        coordinator.step(now, WARM)
+    before = coordinator.settle_us()
+    assert "slice 2" in coordinator.step(now + 1, bad) and coordinator.settle_us() == 2 * before
     for _ in range(int(HOLD_US / SECOND) - 1):
         now += SECOND
-        assert not one.look(now, WARM)
-    quiet = Conductor(now, one.word(0), 2)
+        assert not coordinator.step(now, WARM)
+    idle = RecoveryCoordinator(now, coordinator.progress(0), 2)
     for _ in range(100):
         now += SECOND
-        assert not quiet.look(now, Seen(0, 0))  # a slice that serves nobody tells nothing
-    slow = Conductor(now, one.word(0), 2)
+        assert not idle.step(now, SliceObservation(0, 0))  # a slice without calls gives no evidence
+    slow = RecoveryCoordinator(now, coordinator.progress(0), 2)
     for _ in range(100):
         now += SECOND
-        assert not slow.look(now, Seen(20, 20, times_usual=3.0))
+        assert not slow.step(now, SliceObservation(20, 20, relative_latency=3.0))
 
 
-def test_an_heir_goes_on_from_where_things_stand_and_operators_hold_hurry_and_call_off():
-    heir = Conductor(100, Word(3, 0, 4, "none", 1), 9)
-    assert heir.slice == 3 and heir.settle_us() == 2 * SETTLE_US
-    assert not heir.look(101, WARM)  # the whole time again
-    heir.told(Order.HURRY)
-    assert heir.settle_us() == SETTLE_US
-    heir.told(Order.HOLD)
-    assert not heir.look(100 * SECOND, WARM)
-    assert Conductor(0, heir.word(0), 10).order is Order.HOLD
-    heir.told(Order.OFF)
-    assert "called off" in heir.look(101 * SECOND, WARM) and heir.slice == 0
-    assert not heir.look(102 * SECOND, WARM)
+def test_a_successor_continues_the_return_and_operators_hold_hurry_and_call_it_off():
+    successor = RecoveryCoordinator(100, RecoveryProgress(3, 0, 4, "none", 1), 9)
+    assert successor.slice == 3 and successor.settle_us() == 2 * SETTLE_US
+    assert not successor.step(101, WARM)  # the whole time again
+    successor.set_command(OperatorCommand.HURRY)
+    assert successor.settle_us() == SETTLE_US
+    successor.set_command(OperatorCommand.HOLD)
+    assert not successor.step(100 * SECOND, WARM)
+    assert RecoveryCoordinator(0, successor.progress(0), 10).command is OperatorCommand.HOLD
+    successor.set_command(OperatorCommand.OFF)
+    assert "called off" in successor.step(101 * SECOND, WARM) and successor.slice == 0
+    assert not successor.step(102 * SECOND, WARM)
 
 
-def test_a_router_follows_fresh_words_of_the_newest_conductor_one_slice_at_a_time():
-    one = Follower()
-    assert one.look(None, 0) == 0 and one.look(Word(4, 0, 5), None) == 0
-    assert [one.look(Word(4, 0, 5), 0) for _ in range(5)] == [1, 2, 3, 4, 4]
-    assert one.look(Word(5, 0, 5), FRESH_US + 1) == 4  # an old word lets nobody go on
-    assert one.look(Word(2, 0, 5), 0) == 2  # back at once
-    assert one.look(Word(5, 0, 3), 0) == 2  # of an older conductor
-    assert one.look(Word(len(SLICES), 0, 6), 0) == 3
+def test_a_router_follows_recent_progress_of_the_newest_coordinator_one_slice_at_a_time():
+    follower = RecoveryFollower()
+    assert follower.step(None, 0) == 0 and follower.step(RecoveryProgress(4, 0, 5), None) == 0
+    assert [follower.step(RecoveryProgress(4, 0, 5), 0) for _ in range(5)] == [1, 2, 3, 4, 4]
+    assert follower.step(RecoveryProgress(5, 0, 5), FRESH_US + 1) == 4  # old progress adds no slice
+    assert follower.step(RecoveryProgress(2, 0, 5), 0) == 2  # taken back at once
+    assert follower.step(RecoveryProgress(5, 0, 3), 0) == 2  # of an older coordinator
+    assert follower.step(RecoveryProgress(len(SLICES), 0, 6), 0) == 3
 
 
-# --- what is refused ------------------------------------------------------------------------------------
+# --- load shedding -------------------------------------------------------------------------------------
 
-ORDER = (Rank("low", "", 0.5, 0.4), Rank("mid", "", 0.3, 1.0), Rank("high", "", 0.2, 1.0))
+ORDER = (ClassShare("low", "", 0.5, 0.4), ClassShare("mid", "", 0.3, 1.0), ClassShare("high", "", 0.2, 1.0))
 
 
-def test_the_order_is_cut_from_its_first_on_and_all_routers_refuse_the_same_calls():
-    one, other = Admission(ORDER), Admission(ORDER)
-    assert one.admits("low", "", "k1")
-    one.begin(0)
+def test_the_order_is_cut_from_its_start_and_all_routers_refuse_the_same_calls():
+    shedding, other = Admission(ORDER), Admission(ORDER)
+    assert shedding.admits("low", "", "k1")
+    shedding.begin(0)
     other.begin(0)
-    assert one.part("low", "") == pytest.approx(0.4) and one.part("mid", "") == 1.0 == one.part("new", "")
+    assert shedding.admitted_share("low", "") == pytest.approx(0.4) and shedding.admitted_share(
+        "mid", ""
+    ) == 1.0 == shedding.admitted_share("new", "")
     keys = [f"call-{n}" for n in range(4_000)]
-    taken = [key for key in keys if one.admits("low", "", key)]
-    assert taken == [key for key in keys if other.admits("low", "", key)]
-    assert 0.37 < len(taken) / len(keys) < 0.43
-    waits = [one.wait_ms(key) for key in keys]
+    admitted = [key for key in keys if shedding.admits("low", "", key)]
+    assert admitted == [key for key in keys if other.admits("low", "", key)]
+    assert 0.37 < len(admitted) / len(keys) < 0.43
+    waits = [shedding.retry_after_ms(key) for key in keys]
     assert min(waits) >= 2_000 and max(waits) < 4_000 and len(set(waits)) > 1_000
-    one.end()
-    assert all(one.admits("low", "", key) for key in keys)
+    shedding.end()
+    assert all(shedding.admits("low", "", key) for key in keys)
 
 
-def test_it_is_cut_deeper_while_kept_calls_are_late_and_given_back_slowly_to_the_plan():
-    one, now, parts = Admission(ORDER), 0, []
-    one.begin(now)
+def test_the_cut_deepens_while_admitted_calls_are_late_and_is_restored_slowly_to_the_plan():
+    shedding, now, shares = Admission(ORDER), 0, []
+    shedding.begin(now)
     for late in (True, True, True, False, False):
-        for _ in range(LEAST):
-            one.ended(not late)
-        now += STEP_US
-        assert one.look(now)
-        parts.append([round(one.part(rank.request_class, ""), 2) for rank in ORDER])
-    assert parts[0] == [0.1, 1.0, 1.0] and parts[1] == [0.0, 0.67, 1.0] and parts[2] == [0.0, 0.17, 1.0]
-    assert parts[3] == [0.0, 0.27, 1.0]
-    assert all(a <= b <= c for a, b, c in parts)  # no inversion at any step
+        for _ in range(MIN_CALLS):
+            shedding.record_call(not late)
+        now += STEP_INTERVAL_US
+        assert shedding.step(now)
+        shares.append([round(shedding.admitted_share(entry.request_class, ""), 2) for entry in ORDER])
+    assert shares[0] == [0.1, 1.0, 1.0] and shares[1] == [0.0, 0.67, 1.0] and shares[2] == [0.0, 0.17, 1.0]
+    assert shares[3] == [0.0, 0.27, 1.0]
+    assert all(a <= b <= c for a, b, c in shares)  # no inversion at any step
     for _ in range(60):
-        for _ in range(LEAST):
-            one.ended(True)
-        now += STEP_US
-        one.look(now)
-    assert one.cut == one.plan_cut
+        for _ in range(MIN_CALLS):
+            shedding.record_call(True)
+        now += STEP_INTERVAL_US
+        shedding.step(now)
+    assert shedding.cut == shedding.plan_cut
 
 
-# --- walked -----------------------------------------------------------------------------------------------
+# --- explored ------------------------------------------------------------------------------------------
 
 
-class AtOnce(Conductor):
+class NeverWaits(RecoveryCoordinator):
     """Takes every slice for settled."""
 
     def settle_us(self):
         return 0
 
 
-class Jumps(Follower):
-    """Goes to whatever the word says."""
+class SkipsSlices(RecoveryFollower):
+    """Shows all slices of the progress at once."""
 
-    def look(self, word, silent_us):
-        super().look(word, silent_us)
-        self.shown = word.slice if word.token >= self.token else self.shown
-        return self.shown
+    def step(self, progress, silent_us):
+        super().step(progress, silent_us)
+        self.visible_slices = progress.slice if progress.token >= self.token else self.visible_slices
+        return self.visible_slices
 
 
-class AnyToken(Follower):
-    """Follows whoever speaks last."""
+class IgnoresTokens(RecoveryFollower):
+    """Follows the last sender, whatever its token."""
 
-    def look(self, word, silent_us):
-        self.shown = min(word.slice, self.shown + 1)
-        self.token = max(self.token, word.token)
-        return self.shown
+    def step(self, progress, silent_us):
+        self.visible_slices = min(progress.slice, self.visible_slices + 1)
+        self.token = max(self.token, progress.token)
+        return self.visible_slices
 
 
-class NoWayBack(Conductor):
-    """Once a slice was taken back, nothing follows ever."""
+class NeverRetries(RecoveryCoordinator):
+    """Adds no slice ever again once one was taken back."""
 
-    def look(self, now, seen):
-        why = super().look(now, seen)
-        if self._not_before:
-            self._not_before = 1 << 60
-        return why
+    def step(self, now, observation):
+        reason = super().step(now, observation)
+        if self._retry_at:
+            self._retry_at = 1 << 60
+        return reason
 
 
 @pytest.mark.parametrize(
-    "planted, breach",
+    "injected, breach",
     [
-        ({"conductor": AtOnce}, "slice 2 after"),
-        ({"follower": Jumps}, "at once"),
-        ({"follower": AnyToken}, "followed token 1 after 2"),
-        ({"conductor": NoWayBack}, "no way out"),
+        ({"conductor": NeverWaits}, "slice 2 after"),
+        ({"follower": SkipsSlices}, "at once"),
+        ({"follower": IgnoresTokens}, "followed token 1 after 2"),
+        ({"conductor": NeverRetries}, "no way out"),
     ],
 )
-def test_a_fault_planted_in_the_return_is_found_and_replayed(planted, breach):
-    model = type("Planted", (ReturnModel,), planted)(Scope())
+def test_a_fault_injected_into_the_return_is_found_and_replayed(injected, breach):
+    model = type("Faulty", (ReturnModel,), injected)(Scope())
     found = walk(model, 60_000)
     assert breach in found.breach, found
     assert replay(model, found.trace).breach == found.breach
 
 
-def test_the_return_is_walked_to_the_end_of_a_small_scope():
+def test_the_return_is_explored_exhaustively_in_a_small_scope():
     found = walk(ReturnModel(Scope(leases=1, jumps=3, goods=3)), 60_000)
     assert found.whole and not found.breach and found.states > 200, found
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -290,8 +290,8 @@
 @pytest.mark.parametrize(
     "name, kind",
     [
-        ("return", recovery.Word),
-        ("site", operator_commands.Words),
+        ("return", recovery.RecoveryProgress),
+        ("site", operator_commands.SiteMessage),
         ("copy", copies.CopyMessage),
         ("row", list_follower.Row),
     ],
