--- a/swiftwell/sites/recovery.py
+++ b/swiftwell/sites/recovery.py
@@ -22,7 +22,9 @@
     0.75,
     1.0,
 )  # shares of a site's workers: at most doubled, so that the warm half can carry the load
-SETTLE_US = 4_000_000  # us that a slice has to serve before the next: longer than the interval of rule 4
+SETTLE_US = (
+    4_000_000  # us that a slice has to serve: longer than the interval of the cold-worker budget (rule 4)
+)
 MIN_SERVED_SHARE = 0.95  # share of its calls that a slice has to serve
 MAX_RELATIVE_LATENCY = 2.0  # latency against the expected one up to which a slice counts as warm
 OVERLOAD_SERVED_SHARE = 0.7  # served share below which a slice is taken back
--- a/swiftwell/starting/copies.py
+++ b/swiftwell/starting/copies.py
@@ -19,7 +19,9 @@
 
 from msgspec import Struct
 
-REPLY_TIMEOUT_US = 150_000  # us until a coordinator counts as silent: 100 LAN round trips, 1/5 of a load
+REPLY_TIMEOUT_US = (
+    150_000  # us until a coordinator counts as silent: 100 times the LAN latency, 1/5 of a load
+)
 MAX_ATTEMPTS = 3  # coordinators asked one after the other
 SETTLE_US = 3_000_000  # us after our start in which members we have not heard from may still be alive
 ORDER_TIMEOUT_US = 5_000_000  # us until a granted order counts as lost: six times a usual load
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -274,7 +274,7 @@
 
 
 def test_only_a_router_that_the_site_never_served_joins_a_coordinated_return():
-    """One router with a wrong view of a site would hide the site from all routers that it serves."""
+    """Guards against one router whose wrong view of a site hid it from all routers that the site served."""
     view = DetectorView()
     assert (
         view.detector.join_return(0, "b").after is SiteState.RETURNING
@@ -427,7 +427,7 @@
 
 
 class NeverWaits(RecoveryCoordinator):
-    """Takes every slice for settled."""
+    """Treats every slice as settled at once."""
 
     def settle_us(self):
         return 0
