--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -106,7 +106,7 @@
 
     client = amqp.Client(reply, on_message=take)
     await client.connect("127.0.0.1", port)
-    await client.reply_queue(reply)
+    await client.declare_reply_queue(reply)
 
     def publish(request_class: str, function: str, corr: str) -> None:
         properties = amqp.trigger(corr, reply, corr, 4_500)
--- a/swiftwell/cli/sites.py
+++ b/swiftwell/cli/sites.py
@@ -17,7 +17,7 @@
 
 from swiftwell.cli.document_loading import load_or_exit
 from swiftwell.settings import sites as document
-from swiftwell.sites.plan import Demand, LossPlan, Place, Sites, differences, plans, sacrifice
+from swiftwell.sites.plan import Demand, LossPlan, Place, Sites, differences, plans, shedding_order
 
 FORMAT_VERSION = 1  # of a saved plan
 ANSWER_TIMEOUT_S = 3.0
@@ -118,7 +118,7 @@
     if as_json:
         click.echo(text.decode())
     else:
-        Console().print(table(loss_plans, sacrifice(all_sites)))
+        Console().print(table(loss_plans, shedding_order(all_sites)))
         for line in missing(loss_plans):
             click.echo(line)
     sys.exit(0 if all(loss_plan.kept_whole for loss_plan in loss_plans) else 1)
@@ -130,7 +130,7 @@
     """Check the document only."""
     all_sites = _sites(file)
     click.echo(
-        f"{file}: valid; {len(all_sites.places)} sites, refused first: {', '.join(sacrifice(all_sites))}"
+        f"{file}: valid; {len(all_sites.places)} sites, refused first: {', '.join(shedding_order(all_sites))}"
     )
 
 
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -49,11 +49,11 @@
 from swiftwell.http.http1 import Request, Response
 from swiftwell.http.server import Server
 from swiftwell.settings.site import Site, host_port
-from swiftwell.sites.admit import Rank
-from swiftwell.sites.watch import BOARD, Watch
-from swiftwell.starting.follow import LOOK_S, Follower
+from swiftwell.sites.admission import ClassShare
+from swiftwell.sites.health_observations import LOG_PREFIX, SiteMonitor
+from swiftwell.starting.list_follower import STEP_INTERVAL_S, ListFollower
 from swiftwell.starting.orders import Orders
-from swiftwell.starting.part import Part, routers
+from swiftwell.starting.ramp_share import RampShare, router_count
 from swiftwell.workers.link import Link, LinkBounds
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
         settings = site.router_settings()
         if site.fleet and "cold" in site.fleet.budgets:  # no loan yet: others may hold all that is lent
             own = Share("cold", len(site.fleet.member)).reserved_ppm
-            settings = replace(settings, routers=routers(own))
+            settings = replace(settings, routers=router_count(own))
         super().__init__(
             logs, {request_class.name: request_class.effect for request_class in settings.classes}
         )
@@ -117,9 +117,9 @@
         self.subscribers: list[Subscriber] = []
         self.amqp: list[AmqpLink] = []
         self.fleet: FleetLink | None = None
-        self.follower: Follower | None = None
+        self.follower: ListFollower | None = None
         self.orders: Orders | None = None
-        self.watch: Watch | None = None
+        self.watch: SiteMonitor | None = None
         self._tasks: list[asyncio.Task] = []
         self._health: Server | None = None
         self.health_port = self.listener_port = 0
@@ -147,7 +147,7 @@
         """Handle an input from the link to the workers."""
         if isinstance(input_, ports.OrderEnd) and self.orders:
             self.orders.ended(input_)
-        if isinstance(input_, ports.Asked) and self.watch and self.watch.asked(input_):
+        if isinstance(input_, ports.Asked) and self.watch and self.watch.on_probe_result(input_):
             return
         self.enqueue(input_)
 
@@ -341,7 +341,7 @@
     def _on_list(self, members: io.Members) -> None:
         """Handle a worker list from its source; with one reader for the zone, also pass it to the others."""
         if self.follower:
-            self.follower.told(members)
+            self.follower.on_service_list(members)
         else:
             self._enqueue_list(members)
 
@@ -391,7 +391,7 @@
         self.fleet = link
         self.log("info", "fleet-joined", members=len(names), epoch=fleet.epoch)
         if fleet.one_reader and self._list_service:
-            self.follower = Follower(
+            self.follower = ListFollower(
                 link, f"list/{zone}", fleet.list_rate / zones, self.clock, self._enqueue_list, self.log,
                 Backoff(self._random),
             )  # fmt: skip
@@ -399,7 +399,7 @@
             self._tasks.append(asyncio.ensure_future(self.follower.run()))
         if fleet.sites:
             zone_of_member = [member.zone for member in fleet.member]
-            self.watch = Watch(
+            self.watch = SiteMonitor(
                 link, zone_of_member, self._class_ranks(), self.engine, self.clock, self.link.probe, self.log,
                 self._random.getrandbits(32),
             )  # fmt: skip
@@ -407,7 +407,7 @@
         periodic_tasks: list[Callable[[], None]] = []
         if fleet.one_order:
             self.orders = Orders(link, self.link.order, self.enqueue)
-            periodic_tasks.append(self.orders.look)
+            periodic_tasks.append(self.orders.step)
         if "cold" in fleet.budgets:
             periodic_tasks.append(self._budget_updater(link))
         if "connections" in fleet.budgets:
@@ -431,10 +431,12 @@
         logs = [(f"list/{zone}", zone_members)] if fleet.one_reader else []
         if fleet.sites:
             all_members = tuple(range(len(fleet.member)))
-            logs += [(BOARD + name, all_members) for name in sorted({member.zone for member in fleet.member})]
+            logs += [
+                (LOG_PREFIX + name, all_members) for name in sorted({member.zone for member in fleet.member})
+            ]
         return tuple(logs)
 
-    def _class_ranks(self) -> list[Rank]:
+    def _class_ranks(self) -> list[ClassShare]:
         """Classes in the order of shedding, if there is no plan; each has the same share of the work."""
         fleet, classes = self.site.fleet, self.site.classes
         assert fleet
@@ -448,7 +450,7 @@
             (settings for settings in classes if settings not in named),
             key=lambda settings: (settings.worth, settings.name),
         )
-        return [Rank(settings.name, "", 1 / len(classes), 1.0) for settings in (*others, *named)]
+        return [ClassShare(settings.name, "", 1 / len(classes), 1.0) for settings in (*others, *named)]
 
     @staticmethod
     async def _run_periodically(tasks: list[Callable[[], None]]) -> None:
@@ -456,21 +458,21 @@
         while True:
             for task in tasks:
                 task()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     def _budget_updater(self, link: FleetLink) -> Callable[[], None]:
         """A task that tells the module this gateway's share of the fleet's budget for starting workers."""
         share = link.node.shares["cold"]
-        part, previous = Part(share.reserved_ppm), (0, 0)
+        part, previous = RampShare(share.reserved_ppm), (0, 0)
 
         def update() -> None:
             nonlocal previous
             now = link.now_us()
-            divisor, expires_at = part.look(now, share.ppm(now)), share.loan_expires_at(now)
+            divisor, expires_at = part.update(now, share.ppm(now)), share.loan_expires_at(now)
             if (divisor, expires_at) != previous:
                 previous = divisor, expires_at
                 expires_us = self.clock.now_us() + expires_at - now if expires_at else 0
-                self.engine.set_budget_divisor(divisor, expires_us, routers(share.reserved_ppm))
+                self.engine.set_budget_divisor(divisor, expires_us, router_count(share.reserved_ppm))
                 self.log(
                     "debug", "fleet-part", routers=divisor, at_us=self.clock.now_us(), until_us=expires_us
                 )
@@ -484,7 +486,7 @@
         connections.
         """
         share, now = link.node.shares["connections"], link.now_us()
-        parts = min(share.ppm(now), share.ppm(now + int(2e6 * LOOK_S)))
+        parts = min(share.ppm(now), share.ppm(now + int(2e6 * STEP_INTERVAL_S)))
         self.link.limit_connections(self.site.workers.worker_connections * parts // TOTAL_PPM)
 
     def _authenticate(self, packet: Connect) -> Reason | None:
@@ -510,7 +512,7 @@
             return Response(200, {"content-type": "application/json"}, msgspec.json.encode(status) + b"\n")
         if request.target.startswith("/sites/") and request.method == "POST" and self.watch:
             site, _, command = request.target[7:].rpartition("/")
-            error = self.watch.order(site, command, request.headers.get("swiftwell-who", "unknown"))
+            error = self.watch.execute_command(site, command, request.headers.get("swiftwell-who", "unknown"))
             return Response(200 if not error else 404, {}, f"{error or 'ordered'}\n".encode())
         if request.target == "/metrics":
             from swiftwell.gateway.metrics import page  # imported only if used: it takes a tenth of a start
