--- a/swiftwell/cli/main.py
+++ b/swiftwell/cli/main.py
@@ -63,23 +63,23 @@
     from swiftwell.gateway.journal import JournalError
     from swiftwell.gateway.logs import Logs
     from swiftwell.gateway.shell import Gateway
-    from swiftwell.handover import new
-    from swiftwell.handover.channel import Broken
+    from swiftwell.handover import successor
+    from swiftwell.handover.channel import HandoverError
 
     settings = _load(site)
     logs = Logs(settings.log.format, settings.log.level, settings.log.per_kind)
 
     async def run() -> int:
         gateway = Gateway(settings, logs)
-        channel = new.connect(settings.state) if take_over else None
+        channel = successor.connect(settings.state) if take_over else None
         try:
             if channel:
-                new.receive(channel, gateway)
+                successor.take_over(channel, gateway)
                 gateway.take_over()
                 channel.close()
             else:
                 await gateway.start()
-        except Broken as error:
+        except HandoverError as error:
             logs.write("error", "no-take-over", why=str(error))
             return 3
         except (JournalError, OSError) as error:
@@ -108,9 +108,9 @@
     wrong, 1 where no gateway runs.
     """
     settings = _load(site)
-    from swiftwell.handover import new
+    from swiftwell.handover import successor
 
-    channel = new.connect(settings.state)
+    channel = successor.connect(settings.state)
     if channel is None:
         click.echo(f"{settings.state}: no gateway runs there; use `swiftwell serve`", err=True)
         sys.exit(1)
--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -812,9 +812,9 @@
         """The time at which calls are put in, before the first `step`."""
         self._wheel, self._now, self._wall = TimerWheel(now_us), now_us, wall_us
 
-    def restore_router_state(self, books: snapshot.RouterBooks) -> None:
+    def restore_router_state(self, books: snapshot.RouterSnapshot) -> None:
         """Start with what may be believed of the books of a process that was killed."""
-        snapshot.put(self.router, books)
+        snapshot.restore(self.router, books)
         self.router.seq = 0  # its first `handle` still sets the first timers
         self._unconfirmed = set(self.router.workers)
 
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -46,7 +46,7 @@
 from swiftwell.gateway.journal import Journal
 from swiftwell.gateway.logs import Logs
 from swiftwell.handover import snapshot
-from swiftwell.handover.books import Books
+from swiftwell.handover.snapshot_file import SnapshotFile
 from swiftwell.http.http1 import Request, Response
 from swiftwell.http.server import Server
 from swiftwell.settings.site import Site, host_port
@@ -98,7 +98,7 @@
         self.keeper: SavedListStore | None = None
         self._service: sources.ListServiceClient | None = None
         self._lock = -1
-        self.books = Books(Path(site.state), self.log, self._loop.add_callback)
+        self.books = SnapshotFile(Path(site.state), self.log, self._loop.add_callback)
         self.resting: list[IOStream] = []
         self.adopted: Any = None
         self._opened: dict[str, list[socket.socket]] = {}  # listening already, nothing accepted yet
@@ -179,7 +179,7 @@
 
     def _go(self, fresh: bool) -> None:
         """Follow the list, connect to brokers, sweep, and offer to hand over."""
-        from swiftwell.handover.old import Offer
+        from swiftwell.handover.predecessor import HandoverServer
 
         self._follow_list(fresh)
         for link in (*self.subscribers, *self.amqp):
@@ -187,7 +187,7 @@
         if self.site.fleet:
             self._tasks.append(asyncio.ensure_future(self._join_fleet()))
         self._sweeper.start()
-        self._offer = Offer(self)
+        self._offer = HandoverServer(self)
         self._offer.open()
         self._tasks.append(asyncio.ensure_future(self._offer.run()))
 
@@ -520,9 +520,9 @@
     def _sweep(self) -> None:
         self.link.sweep()
         self.logs.sweep()
-        self.books.look(
+        self.books.write_if_due(
             self.clock.now_us(),
-            lambda: snapshot.take(self.engine.router, calls=False),
+            lambda: snapshot.capture(self.engine.router, calls=False),
             self.clock.anchor_us,
         )
         if self.keeper and self._service:
--- a/swiftwell/handover/channel.py
+++ b/swiftwell/handover/channel.py
@@ -1,7 +1,7 @@
 """The channel between the two processes: framed messages and descriptors over a Unix socket.
 
 A frame is length(4) and msgpack.  Descriptors go in batches beside one byte each.  Every call has a time
-limit; what breaks it, or the form, raises `Broken`.
+limit; what breaks it, or the form, raises `HandoverError`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 _LENGTH = struct.Struct(">I")
 
 
-class Broken(Exception):
+class HandoverError(Exception):
     """The other side is gone, too slow, or does not speak the protocol."""
 
 
@@ -42,19 +42,19 @@
         self._guard(within_s, self._sock.sendall, _LENGTH.pack(len(body)) + body)
 
     def receive(self, within_s: float, *kinds: str) -> dict[str, Any]:
-        """The next message, which must be of one of these kinds; `no` raises Broken with its reason."""
+        """The next message, which must be of one of these kinds; `no` raises HandoverError with its reason."""
         (length,) = _LENGTH.unpack(self._exactly(4, within_s))
         if length > MOST_FRAME:
-            raise Broken(f"a frame of {length} bytes")
+            raise HandoverError(f"a frame of {length} bytes")
         try:
             told = msgspec.msgpack.decode(self._exactly(length, within_s), type=dict[str, Any])
             kind = told.pop("kind")
         except (msgspec.DecodeError, KeyError):
-            raise Broken("a message that is no message") from None
+            raise HandoverError("a message that is no message") from None
         if kind == "no":
-            raise Broken(f"the other side says no: {told.get('why')}")
+            raise HandoverError(f"the other side says no: {told.get('why')}")
         if kind not in kinds:
-            raise Broken(f"{kind!r} where {' or '.join(kinds)} was expected")
+            raise HandoverError(f"{kind!r} where {' or '.join(kinds)} was expected")
         return told
 
     def send_fds(self, fds: list[int], within_s: float) -> None:
@@ -71,11 +71,11 @@
                 size = socket.CMSG_SPACE(BATCH * 4)
                 data, extra, flags, _ = self._guard(within_s, self._sock.recvmsg, 1, size)
                 if data != b"F" or flags & socket.MSG_CTRUNC:
-                    raise Broken("descriptors were expected")
+                    raise HandoverError("descriptors were expected")
                 for level, kind, raw in extra:
                     if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
                         out += array.array("i", raw[: len(raw) - len(raw) % 4])
-        except Broken:
+        except HandoverError:
             for fd in out:
                 os.close(fd)
             raise
@@ -86,7 +86,7 @@
         while len(out) < count:
             data = self._guard(within_s, self._sock.recv, min(count - len(out), 1 << 20))
             if not data:
-                raise Broken("the other side closed the channel")
+                raise HandoverError("the other side closed the channel")
             out += data
         return bytes(out)
 
@@ -95,11 +95,11 @@
             self._sock.settimeout(within_s)
             return act(*args)
         except TimeoutError:
-            raise Broken(f"nothing within {within_s:g} s") from None
+            raise HandoverError(f"nothing within {within_s:g} s") from None
         except OSError as error:
-            raise Broken(error.strerror or str(error)) from None
+            raise HandoverError(error.strerror or str(error)) from None
 
-    def last_word(self) -> bool:
+    def shut_down_and_check_owned(self) -> bool:
         """Give up waiting for `owned`: whether it has come after all.
 
         The receiving half is shut first, so from here on the other side can't send it any more (it gets
@@ -108,7 +108,7 @@
         try:
             self._sock.shutdown(socket.SHUT_RD)
             self.receive(0.1, "owned")
-        except (Broken, OSError):
+        except (HandoverError, OSError):
             return False
         return True
 
--- a/swiftwell/handover/crash.py
+++ b/swiftwell/handover/crash.py
@@ -9,14 +9,20 @@
 
 from msgspec.structs import replace
 
-from swiftwell.handover.snapshot import RouterBooks, WorkerBooks
+from swiftwell.handover.snapshot import RouterSnapshot, WorkerSnapshot
 
-EVERY_US = 3_000_000  # us between two writings
-COPIES_US = 30_000_000  # us: older books say nothing of warm copies, which others may have pushed out since
-USUAL_US = 3_600_000_000  # us: older books say nothing of how long calls take or how workers differ
+WRITE_INTERVAL_US = 3_000_000  # us between two writings
+COPIES_MAX_AGE_US = (
+    30_000_000  # us: older books say nothing of warm copies, which others may have pushed out since
+)
+LATENCIES_MAX_AGE_US = (
+    3_600_000_000  # us: older books say nothing of how long calls take or how workers differ
+)
 
 
-def believe(books: RouterBooks, age_us: int | None, same_boot: bool, shift_us: int = 0) -> RouterBooks | None:
+def usable_part(
+    books: RouterSnapshot, age_us: int | None, same_boot: bool, shift_us: int = 0
+) -> RouterSnapshot | None:
     """The part of written books that a new start takes; None for nothing.
 
     `age_us` None: it can't be known.  The books' times are steady ones: after a restart of the machine they
@@ -26,7 +32,7 @@
     """
     if not same_boot or age_us is None or age_us < 0:
         return None
-    fresh, usual = age_us <= COPIES_US, age_us <= USUAL_US
+    fresh, usual = age_us <= COPIES_MAX_AGE_US, age_us <= LATENCIES_MAX_AGE_US
     workers = [_worker(one, fresh, usual, shift_us) for one in books.workers]
     if not usual:
         return replace(_empty(books), workers=workers)
@@ -41,19 +47,19 @@
     )
 
 
-def _empty(books: RouterBooks) -> RouterBooks:
+def _empty(books: RouterSnapshot) -> RouterSnapshot:
     """What is kept in any case: the windows of rule 5, and no more retries than are left."""
-    return RouterBooks(
+    return RouterSnapshot(
         taken=books.taken,
         orders=books.orders,
-        retries=min(books.retries, RouterBooks().retries / 2),
+        retries=min(books.retries, RouterSnapshot().retries / 2),
         now=books.now,
     )
 
 
-def _worker(one: WorkerBooks, fresh: bool, usual: bool, shift_us: int) -> WorkerBooks:
+def _worker(one: WorkerSnapshot, fresh: bool, usual: bool, shift_us: int) -> WorkerSnapshot:
     """A worker's books without calls; not offered until a list or the worker itself has named it."""
-    kept = WorkerBooks(
+    kept = WorkerSnapshot(
         one.worker,
         "Stopping",
         one.kind,
--- a/swiftwell/handover/old.py
+++ b/swiftwell/handover/predecessor.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any
 
 from swiftwell import __version__
-from swiftwell.handover.channel import Broken, Channel
+from swiftwell.handover.channel import Channel, HandoverError
 from swiftwell.handover.fault import step
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     return state
 
 
-class Offer:
+class HandoverServer:
     """Listens for successors, one at a time.  `busy` while one is served."""
 
     def __init__(self, gateway: Gateway) -> None:
@@ -85,7 +85,7 @@
         pid, uid = channel.peer
         try:
             if uid not in (os.geteuid(), 0):
-                raise Broken(f"user {uid} may not take over")
+                raise HandoverError(f"user {uid} may not take over")
             if self._busy or self._gateway.frozen or self._gateway._stopping:
                 channel.send("no", HELLO_S, why="another handover is under way, or the gateway is stopping")
                 return
@@ -94,9 +94,9 @@
                 await self._hand_over(channel, pid)
             finally:
                 self._busy = False
-        except Broken as error:
+        except HandoverError as error:
             log("warning", "handover-failed", why=str(error), pid=pid)
-            with contextlib.suppress(Broken):
+            with contextlib.suppress(HandoverError):
                 channel.send("no", 0.1, why=str(error))
         finally:
             channel.close()
@@ -116,17 +116,17 @@
             await state.freeze(gateway, REST_S)
         except TimeoutError as error:
             state.thaw(gateway)
-            raise Broken(str(error)) from None
+            raise HandoverError(str(error)) from None
         except BaseException:
             state.thaw(gateway)
             raise
         owned = False
         try:
             owned = await asyncio.to_thread(self._give, channel)
-        except Broken as error:
-            owned = channel.last_word()
+        except HandoverError as error:
+            owned = channel.shut_down_and_check_owned()
             if not owned:
-                raise Broken(f"{error}; carrying on") from None
+                raise HandoverError(f"{error}; carrying on") from None
         finally:
             if not owned:
                 state.thaw(gateway)
@@ -135,7 +135,7 @@
     def _give(self, channel: Channel) -> bool:
         """From here nobody is served until it is over.  In a thread, as the channel waits."""
         state = _state()
-        told, fds = state.take(self._gateway)
+        told, fds = state.capture(self._gateway)
         raw = state.encode(told)
         channel.send("state", FROZEN_S, state=raw, fds=len(fds))
         channel.send_fds(fds, FROZEN_S)
@@ -153,20 +153,20 @@
         os._exit(0)
 
     def close(self) -> None:
-        """Offer nothing more."""
+        """Stop listening."""
         if self._sock:
             self._sock.close()
             self._path.unlink(missing_ok=True)
 
 
 def _agree(hello: dict, name: str) -> None:
-    """Raise Broken unless both sides can speak and mean the same gateway."""
+    """Raise HandoverError unless both sides can speak and mean the same gateway."""
     protocol, least = hello.get("protocol"), hello.get("least")
     if not isinstance(protocol, int) or not isinstance(least, int) or protocol < least:
-        raise Broken(f"a hello without a protocol that makes sense: {protocol!r}, {least!r}")
+        raise HandoverError(f"a hello without a protocol that makes sense: {protocol!r}, {least!r}")
     if protocol < LEAST:
-        raise Broken(f"it speaks protocol {protocol}, too old: {LEAST} to {PROTOCOL} are spoken here")
+        raise HandoverError(f"it speaks protocol {protocol}, too old: {LEAST} to {PROTOCOL} are spoken here")
     if least > PROTOCOL:
-        raise Broken(f"it needs protocol {least}, too new: {LEAST} to {PROTOCOL} are spoken here")
+        raise HandoverError(f"it needs protocol {least}, too new: {LEAST} to {PROTOCOL} are spoken here")
     if hello.get("name") != name:
-        raise Broken(f"it is {hello.get('name')!r}, this is {name!r}")
+        raise HandoverError(f"it is {hello.get('name')!r}, this is {name!r}")
--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -44,7 +44,7 @@
     fades: int
 
 
-class WorkerBooks(msgspec.Struct):
+class WorkerSnapshot(msgspec.Struct):
     """What is known of a worker."""
 
     worker: str
@@ -73,7 +73,7 @@
     turns: tuple[float, int, int] | None = None  # come, used, and when: at it while it starts
 
 
-class FunctionBooks(msgspec.Struct):
+class FunctionSnapshot(msgspec.Struct):
     """What is known of a function."""
 
     name: str
@@ -86,7 +86,7 @@
     holders: list[str] = []
 
 
-class AttemptBooks(msgspec.Struct):
+class AttemptSnapshot(msgspec.Struct):
     """One send of a call."""
 
     worker: str
@@ -98,20 +98,20 @@
     group: str = "all"
 
 
-class CallBooks(msgspec.Struct):
+class CallSnapshot(msgspec.Struct):
     """A call, with its request and class as they were told."""
 
     request: dict[str, Any]
     request_class: dict[str, Any] = msgspec.field(name="band")
     seq: int
     arrived: int
-    attempts: list[AttemptBooks] = []
+    attempts: list[AttemptSnapshot] = []
     held: bool = False
     ended: bool = False
     streaming: bool = False
 
 
-class TimerBooks(msgspec.Struct):
+class TimerSnapshot(msgspec.Struct):
     """A timer: its token, what it does, about what, and when it is due (monotonic us)."""
 
     token: int
@@ -120,14 +120,14 @@
     due: int
 
 
-class RouterBooks(msgspec.Struct):
+class RouterSnapshot(msgspec.Struct):
     """The whole of a router."""
 
-    workers: list[WorkerBooks] = []
-    functions: list[FunctionBooks] = []
-    calls: list[CallBooks] = []
+    workers: list[WorkerSnapshot] = []
+    functions: list[FunctionSnapshot] = []
+    calls: list[CallSnapshot] = []
     lines: list[tuple[str, str, list[str]]] = []
-    timers: list[TimerBooks] = []
+    timers: list[TimerSnapshot] = []
     taken: list[int] = []
     orders: list[int] = []
     retries: float = 10.0
@@ -168,32 +168,32 @@
     return Copies(estimate.count, estimate.memory_mb, estimate.made_at, estimate.expires_at)
 
 
-def _timer(router: Router, token: int, act: Any, args: tuple, due: int) -> TimerBooks | None:
+def _timer(router: Router, token: int, act: Any, args: tuple, due: int) -> TimerSnapshot | None:
     """A timer, unless what it is about has ended: then it would do nothing."""
     name = _TIMERS.get(getattr(act, "__name__", ""), "")
     if name in ("_sweep", "_watch"):
-        return TimerBooks(token, name, [], due)
+        return TimerSnapshot(token, name, [], due)
     if name in ("_finish", "_half"):
         call = args[0]
         return (
-            TimerBooks(token, name, [call.request.id], due)
+            TimerSnapshot(token, name, [call.request.id], due)
             if router.calls.get(call.request.id) is call
             else None
         )
     if name == "_late":
         one = args[0]
         live = one.in_flight and not one.call.ended and router.calls.get(one.call.request.id) is one.call
-        return TimerBooks(token, name, [one.call.request.id, one.number], due) if live else None
+        return TimerSnapshot(token, name, [one.call.request.id, one.number], due) if live else None
     if name == "_load_failed":
         worker, function, order = args
         live = worker.pending_loads.get(function.name) is order
-        return TimerBooks(token, name, [worker.entry.worker, function.name], due) if live else None
-    return TimerBooks(token, "look", [], due)
+        return TimerSnapshot(token, name, [worker.entry.worker, function.name], due) if live else None
+    return TimerSnapshot(token, "look", [], due)
 
 
-def take(router: Router, calls: bool = True) -> RouterBooks:
+def capture(router: Router, calls: bool = True) -> RouterSnapshot:
     """The books of a router, between two of its `handle`s; without calls, lines and timers unless `calls`."""
-    out = RouterBooks(
+    out = RouterSnapshot(
         taken=list(router.recent_arrivals.times),
         orders=list(router.recent_orders.times),
         retries=router.retry_tokens.tokens,
@@ -218,7 +218,7 @@
     for worker in router.workers.values():
         entry = worker.entry
         out.workers.append(
-            WorkerBooks(
+            WorkerSnapshot(
                 entry.worker,
                 entry.state.value,
                 entry.kind,
@@ -248,7 +248,7 @@
     for f in router.functions.values():
         holders = [name for name, worker in f.holders.items() if router.workers.get(name) is worker]
         out.functions.append(
-            FunctionBooks(
+            FunctionSnapshot(
                 f.name,
                 f.load_us,
                 f.arrival_rate.total,
@@ -264,7 +264,7 @@
     for call in router.calls.values():
         request = {_REQUEST[name]: value for name, value in call.request._asdict().items()}
         attempts = [
-            AttemptBooks(
+            AttemptSnapshot(
                 a.worker.entry.worker,
                 a.sent_at,
                 a.cold,
@@ -276,7 +276,7 @@
             for a in call.attempts
         ]
         out.calls.append(
-            CallBooks(
+            CallSnapshot(
                 request,
                 encode_request_class(call.request_class),
                 call.seq,
@@ -295,7 +295,7 @@
     return out
 
 
-def put(router: Router, books: RouterBooks) -> None:
+def restore(router: Router, books: RouterSnapshot) -> None:
     """Give a new router the books of an old one.  Its own settings hold: a class or kind that they lack is
     carried along for the calls that have it."""
     router.recent_arrivals.times, router.recent_orders.times = deque(books.taken), deque(books.orders)
@@ -361,7 +361,7 @@
         _timer_in(router, timer)
 
 
-def _call(router: Router, c: CallBooks) -> None:
+def _call(router: Router, c: CallSnapshot) -> None:
     request = io.Request(
         **{name: c.request[stored] for name, stored in _REQUEST.items() if stored in c.request}
     )
@@ -392,7 +392,7 @@
     router.calls[request.id] = call
 
 
-def _timer_in(router: Router, timer: TimerBooks) -> None:
+def _timer_in(router: Router, timer: TimerSnapshot) -> None:
     act: Any = None
     args: tuple = ()
     match timer.act, timer.about:
--- a/swiftwell/handover/books.py
+++ b/swiftwell/handover/snapshot_file.py
@@ -16,22 +16,22 @@
 MAGIC = b"SWBOOKS1"
 
 
-class Kept(msgspec.Struct):
+class SavedSnapshot(msgspec.Struct):
     """Books with what tells their age."""
 
     boot: str
     mono_us: int
-    books: snapshot.RouterBooks
+    books: snapshot.RouterSnapshot
     anchor_us: int = 0  # wall clock less steady clock, as that process had it; 0 is untold
 
 
-def encode(kept: Kept) -> bytes:
+def encode(kept: SavedSnapshot) -> bytes:
     """As a file's bytes."""
     body = msgspec.msgpack.encode(kept)
     return MAGIC + xxhash.xxh3_64_digest(body) + body
 
 
-def decode(raw: bytes) -> Kept:
+def decode(raw: bytes) -> SavedSnapshot:
     """And back; raises ValueError with what is wrong."""
     body = raw[16:]
     if raw[:8] != MAGIC or len(raw) < 16:
@@ -39,12 +39,12 @@
     if xxhash.xxh3_64_digest(body) != raw[8:16]:
         raise ValueError("damaged, its checksum is wrong")
     try:
-        return msgspec.msgpack.decode(body, type=Kept)
+        return msgspec.msgpack.decode(body, type=SavedSnapshot)
     except msgspec.DecodeError as error:
         raise ValueError(str(error)) from None
 
 
-class Books:
+class SnapshotFile:
     """The file of one gateway.  A failure to write is told once; calls do not wait for it."""
 
     def __init__(self, folder: Path, log: Callable[..., None], post: Callable[..., None]) -> None:
@@ -53,7 +53,7 @@
         self._pool = ThreadPoolExecutor(1, thread_name_prefix="books")
         self._busy, self._at, self._told = False, 0, ""
 
-    def load(self, now_us: int, anchor_us: int = 0) -> snapshot.RouterBooks | None:
+    def load(self, now_us: int, anchor_us: int = 0) -> snapshot.RouterSnapshot | None:
         """What a start now may believe of the last books."""
         try:
             kept = decode(self._path.read_bytes())
@@ -65,19 +65,21 @@
         same = bool(kept.boot) and kept.boot == self._boot
         age = now_us - kept.mono_us
         shift = kept.anchor_us - anchor_us if kept.anchor_us and anchor_us else 0
-        believed = crash.believe(kept.books, age, same, shift)
+        believed = crash.usable_part(kept.books, age, same, shift)
         workers = len(believed.workers) if believed else 0
         self._log("info", "books", age_s=round(age / 1e6, 1), workers=workers, same_boot=same)
         return believed
 
-    def look(self, now_us: int, take: Callable[[], snapshot.RouterBooks], anchor_us: int = 0) -> None:
+    def write_if_due(
+        self, now_us: int, take: Callable[[], snapshot.RouterSnapshot], anchor_us: int = 0
+    ) -> None:
         """Write what `take` gives, if it is time: books without calls, which a start could not believe."""
-        if self._busy or now_us - self._at < crash.EVERY_US:
+        if self._busy or now_us - self._at < crash.WRITE_INTERVAL_US:
             return
         self._busy, self._at = True, now_us
-        self._pool.submit(self._write, Kept(self._boot, now_us, take(), anchor_us))
+        self._pool.submit(self._write, SavedSnapshot(self._boot, now_us, take(), anchor_us))
 
-    def _write(self, kept: Kept) -> None:
+    def _write(self, kept: SavedSnapshot) -> None:
         why = ""
         try:
             part = self._path.with_suffix(".part")
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -233,7 +233,7 @@
     listeners: list[ListenerState] = []
     amqp: list[AmqpState] = []
     roster: RosterState = msgspec.field(default_factory=RosterState)
-    router: snapshot.RouterBooks = msgspec.field(default_factory=snapshot.RouterBooks)
+    router: snapshot.RouterSnapshot = msgspec.field(default_factory=snapshot.RouterSnapshot)
     lock: int = -1
     ledger_lock: int = -1
 
@@ -355,7 +355,7 @@
 # Taking.
 
 
-def take(gateway: Gateway) -> tuple[GatewayState, list[int]]:
+def capture(gateway: Gateway) -> tuple[GatewayState, list[int]]:
     """The state of a frozen gateway and the descriptors that go with it."""
     fds: list[int] = []
 
@@ -404,7 +404,7 @@
         entry = {one.name: getattr(known.entry, one.name) for one in fields(io.WorkerEntry)}
         state.roster.known.append(values | {"entry": entry | {"state": known.entry.state.value}})
     state.roster.live, state.roster.size_since = engine.roster.live, engine.roster.size_since
-    state.router = snapshot.take(engine.router)
+    state.router = snapshot.capture(engine.router)
     if gateway._lock >= 0:
         state.lock = add(gateway._lock)
     if gateway.journal:
@@ -558,7 +558,7 @@
     """
     gateway.clock.anchor_us = state.anchor_us
     engine, ledger = gateway.engine, gateway.ledger
-    snapshot.put(engine.router, state.router)
+    snapshot.restore(engine.router, state.router)
     engine.start_at(gateway.clock.now_us(), gateway.clock.wall_us())
     for record in state.ledger:
         ledger.replay(record)
--- a/swiftwell/handover/new.py
+++ b/swiftwell/handover/successor.py
@@ -12,9 +12,9 @@
 
 from swiftwell import __version__
 from swiftwell.handover import state
-from swiftwell.handover.channel import Broken, Channel
+from swiftwell.handover.channel import Channel, HandoverError
 from swiftwell.handover.fault import step
-from swiftwell.handover.old import FROZEN_S, HELLO_S, LEAST, PROTOCOL, socket_path
+from swiftwell.handover.predecessor import FROZEN_S, HELLO_S, LEAST, PROTOCOL, socket_path
 
 if TYPE_CHECKING:
     from swiftwell.gateway.shell import Gateway
@@ -35,8 +35,8 @@
     return Channel(sock)
 
 
-def receive(channel: Channel, gateway: Gateway) -> None:
-    """Take over: returns when this process owns everything.  Raises Broken where it does not, and must end.
+def take_over(channel: Channel, gateway: Gateway) -> None:
+    """Take over: returns when this process owns everything.  Raises HandoverError where it does not, and must end.
 
     Nothing is done to what was received before `owned` has been sent; if that can't be sent, the old process
     carries on.
@@ -54,7 +54,7 @@
             # Found now, while the old process serves: after the commit nobody could carry on.
             gateway.open_new([(name, address, port) for name, address, port in offer["listeners"]])
         except (OSError, ValueError, TypeError) as error:
-            raise Broken(f"a new listener can't be opened: {error}") from error
+            raise HandoverError(f"a new listener can't be opened: {error}") from error
     channel.send("prepared", HELLO_S)
     step("prepared")
     told = channel.receive(PATIENCE_S, "state")
@@ -64,7 +64,7 @@
     try:
         state.restore(gateway, state.decode(told["state"]), fds)
     except Exception as error:  # whatever is wrong with the state: the old process carries on
-        raise Broken(f"the state can't be restored: {type(error).__name__}: {error}") from error
+        raise HandoverError(f"the state can't be restored: {type(error).__name__}: {error}") from error
     channel.send("restored", FROZEN_S)
     step("restored")
     channel.receive(FROZEN_S, "commit")
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -52,7 +52,7 @@
         self._disk_chance = world.stream(f"disk/{name}")
         self._effects = {request_class.name: request_class.effect for request_class in plan.told.classes}
         self.disk: list[Record] = []  # what is durable, and outlives a kill
-        self._books: tuple[int, snapshot.RouterBooks] | None = None
+        self._books: tuple[int, snapshot.RouterSnapshot] | None = None
         self.up = False
         self.life = 0
         self.on_life: list[Callable[[bool], None]] = []  # fronts hear of start and kill
@@ -84,14 +84,14 @@
         self._out: dict[tuple[str, int], str] = {}  # attempts that are out: their worker, "" without one
         if self._books:
             at, books = self._books
-            if believed := crash.believe(books, world.now - at, True):
+            if believed := crash.usable_part(books, world.now - at, True):
                 self.engine.start_at(world.now, world.wall())
                 self.engine.restore_router_state(believed)
         world.note("ready", "runner", gw=self.name, port=self.port)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))
         self.list_now(self)
         if self.plan.books:
-            world.after(crash.EVERY_US, self._write_books, self.life)
+            world.after(crash.WRITE_INTERVAL_US, self._write_books, self.life)
         for told in self.on_life:
             told(True)
 
@@ -111,8 +111,8 @@
 
     def _write_books(self, life: int) -> None:
         if life == self.life and self.up:
-            self._books = (self.world.now, snapshot.take(self.engine.router, calls=False))
-            self.world.after(crash.EVERY_US, self._write_books, life)
+            self._books = (self.world.now, snapshot.capture(self.engine.router, calls=False))
+            self.world.after(crash.WRITE_INTERVAL_US, self._write_books, life)
 
     # Turns.
 
--- a/swiftwell/proof/runner.py
+++ b/swiftwell/proof/runner.py
@@ -20,7 +20,7 @@
 from swiftwell.discovery import saved
 from swiftwell.fleet.lease import MAX_CLOCK_DRIFT
 from swiftwell.fleet.link import CLOCK_RATE_VARIABLE
-from swiftwell.handover.new import STEPS
+from swiftwell.handover.successor import STEPS
 from swiftwell.proof import days
 from swiftwell.proof.account import account
 from swiftwell.proof.rules import check
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,10 +25,10 @@
 from swiftwell.fronts.mqtt.codec import Connect, Decoder, Publish, encode
 from swiftwell.gateway import ports
 from swiftwell.gateway.clock import Clock
-from swiftwell.handover import books, crash, new, snapshot, state
-from swiftwell.handover.channel import Broken, Channel
-from swiftwell.handover.new import STEPS
-from swiftwell.handover.old import _agree, socket_path
+from swiftwell.handover import crash, snapshot, snapshot_file, state, successor
+from swiftwell.handover.channel import Channel, HandoverError
+from swiftwell.handover.predecessor import _agree, socket_path
+from swiftwell.handover.successor import STEPS
 
 LOADS = replace(ORDERS, classes=SETTINGS.classes, load_free=50, load_share=1, load_window_us=5_000_000)
 
@@ -62,12 +62,12 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_books_put_back_and_taken_again_are_the_same(seed):
     router = busy(seed).engine.router
-    taken = snapshot.take(router)
+    taken = snapshot.capture(router)
     assert taken.calls and taken.timers and any(worker.copies for worker in taken.workers)
     raw = msgspec.msgpack.encode(taken)
     other = Router(LOADS, 1)
-    snapshot.put(other, msgspec.msgpack.decode(raw, type=snapshot.RouterBooks))
-    assert snapshot.take(other) == taken
+    snapshot.restore(other, msgspec.msgpack.decode(raw, type=snapshot.RouterSnapshot))
+    assert snapshot.capture(other) == taken
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -75,7 +75,7 @@
     play = busy(seed)
     old = play.engine.router
     new = Router(LOADS, 1)
-    snapshot.put(new, snapshot.take(old))
+    snapshot.restore(new, snapshot.capture(old))
     for function in (*old.functions.values(), *new.functions.values()):
         function.list_version = -1  # preferred workers are made again in both
         function.preferred_count = 0
@@ -91,14 +91,14 @@
 
 
 def test_a_state_of_another_version_is_read_with_defaults():
-    plain = msgspec.to_builtins(snapshot.take(busy(1).engine.router))
+    plain = msgspec.to_builtins(snapshot.capture(busy(1).engine.router))
     plain["workers"][0]["grown"] = {"in": "a later version"}  # not known here: dropped
     for worker in plain["workers"]:
         del worker["pace"], worker["failures"]  # of an earlier version: defaulted
     plain["newer"] = 1
-    read = msgspec.convert(plain, snapshot.RouterBooks)
+    read = msgspec.convert(plain, snapshot.RouterSnapshot)
     router = Router(LOADS, 1)
-    snapshot.put(router, read)
+    snapshot.restore(router, read)
     assert all(worker.relative_latency == 1.0 and worker.failures == 0 for worker in router.workers.values())
     told = msgspec.msgpack.encode({"version": 9, "name": "x", "later": [1], "router": plain})
     assert state.decode(told).name == "x"
@@ -108,17 +108,17 @@
 
 
 def test_after_a_kill_beliefs_are_taken_by_their_age_and_calls_never():
-    taken = snapshot.take(busy(1).engine.router)
-    assert crash.believe(taken, 0, False) is None and crash.believe(taken, None, True) is None
-    assert crash.believe(taken, -1, True) is None
-    for age in (1, crash.COPIES_US + 1, crash.USUAL_US + 1):
-        told = crash.believe(taken, age, True)
+    taken = snapshot.capture(busy(1).engine.router)
+    assert crash.usable_part(taken, 0, False) is None and crash.usable_part(taken, None, True) is None
+    assert crash.usable_part(taken, -1, True) is None
+    for age in (1, crash.COPIES_MAX_AGE_US + 1, crash.LATENCIES_MAX_AGE_US + 1):
+        told = crash.usable_part(taken, age, True)
         assert not told.calls and not told.timers and not any(w.inflight or w.busy for w in told.workers)
         assert told.orders == taken.orders and [w.sends for w in told.workers] == [
             w.sends for w in taken.workers
         ]
-        assert any(w.copies for w in told.workers) == (age <= crash.COPIES_US)
-        assert (told.usual == taken.usual) == (age <= crash.USUAL_US)
+        assert any(w.copies for w in told.workers) == (age <= crash.COPIES_MAX_AGE_US)
+        assert (told.usual == taken.usual) == (age <= crash.LATENCIES_MAX_AGE_US)
         assert told.retries <= 5 and {w.state for w in told.workers} == {"Stopping"}
 
 
@@ -130,8 +130,8 @@
     old = busy(3)
     for worker in old.engine.router.workers.values():
         worker.entry = replace(worker.entry, started_us=one.started_us(wall_ms))
-    kept = books.Books(tmp_path, lambda *a, **k: None, lambda act: None)
-    kept.look(old.now, lambda: snapshot.take(old.engine.router, calls=False), one.anchor_us)
+    kept = snapshot_file.SnapshotFile(tmp_path, lambda *a, **k: None, lambda act: None)
+    kept.write_if_due(old.now, lambda: snapshot.capture(old.engine.router, calls=False), one.anchor_us)
     kept.close()
     believed = kept.load(old.now + 1_000_000, two.anchor_us)
     assert {worker.started_us for worker in believed.workers} == {two.started_us(wall_ms)}
@@ -153,11 +153,11 @@
 
 def test_a_start_with_believed_books_offers_no_worker_before_a_list_names_it():
     old = busy(2)
-    warm = {w.worker: set(w.copies) for w in snapshot.take(old.engine.router).workers}
+    warm = {w.worker: set(w.copies) for w in snapshot.capture(old.engine.router).workers}
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
-    play.engine.restore_router_state(crash.believe(snapshot.take(old.engine.router), 1_000_000, True))
+    play.engine.restore_router_state(crash.usable_part(snapshot.capture(old.engine.router), 1_000_000, True))
     assert not only(play.call(function="f1"), ports.Start)
     entries = tuple(w.entry for w in old.engine.router.workers.values())[:4]
     play.do(ports.Listed(io.Members(io.ListKind.FULL, entries)))
@@ -171,10 +171,10 @@
 
 def test_books_on_disk_are_used_whole_or_not_at_all(tmp_path):
     lines, posts = [], []
-    one = books.Books(tmp_path, lambda *a, **k: lines.append(a[1]), posts.append)
+    one = snapshot_file.SnapshotFile(tmp_path, lambda *a, **k: lines.append(a[1]), posts.append)
     assert one.load(0) is None and not lines
     router = busy(1).engine.router
-    one.look(10_000_000, lambda: snapshot.take(router, calls=False))
+    one.write_if_due(10_000_000, lambda: snapshot.capture(router, calls=False))
     one.close()
     assert [w.worker for w in one.load(11_000_000).workers] == list(router.workers)
     raw = (tmp_path / "books").read_bytes()
@@ -194,7 +194,7 @@
         {"least": 2},
         {"name": "x"},
     ):
-        with pytest.raises(Broken):
+        with pytest.raises(HandoverError):
             _agree(good | bad, "gw")
 
 
@@ -204,8 +204,8 @@
         left, right = Channel(a), Channel(b)
         if sent:
             right.send("owned", 1)
-        assert left.last_word() is sent
-        with pytest.raises(Broken):
+        assert left.shut_down_and_check_owned() is sent
+        with pytest.raises(HandoverError):
             right.send("owned", 1)
 
 
@@ -214,7 +214,7 @@
         a, b = socket.socketpair()
         b.sendall(raw)
         b.close()
-        with pytest.raises(Broken):
+        with pytest.raises(HandoverError):
             Channel(a).receive(0.5, "hello")
 
 
@@ -573,13 +573,13 @@
 
             def ask():
                 """The handover up to the state, then gone: the old process carries on."""
-                channel = new.connect(old.site.state)
+                channel = successor.connect(old.site.state)
                 channel.send("hello", 1, protocol=1, least=1, version="x", name="gw")
                 channel.receive(1, "offer")
                 channel.send("prepared", 1)
                 try:
                     return state.decode(channel.receive(5, "state")["state"])
-                except Broken as error:
+                except HandoverError as error:
                     return str(error)
                 finally:
                     channel.close()
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -29,7 +29,7 @@
 from swiftwell.gateway import effects, journal
 from swiftwell.gateway.logs import Logs
 from swiftwell.gateway.shell import Gateway
-from swiftwell.handover import books, snapshot, state
+from swiftwell.handover import snapshot, snapshot_file, state
 from swiftwell.proof import account, days, rules, trace, verdict
 from swiftwell.scale import results
 from swiftwell.settings import platform, schema, site
@@ -74,14 +74,14 @@
 
 def restored_router(settings, raw):
     router = Router(settings, 1)
-    snapshot.put(router, msgspec.msgpack.decode(raw, type=snapshot.RouterBooks))
+    snapshot.restore(router, msgspec.msgpack.decode(raw, type=snapshot.RouterSnapshot))
     return router
 
 
 def test_a_stored_snapshot_is_restored_and_taken_again_with_every_field():
     raw = stored("router.msgpack")
     router = restored_router(io.Settings(()), raw)
-    assert plain(msgspec.msgpack.encode(snapshot.take(router))) == plain(raw)
+    assert plain(msgspec.msgpack.encode(snapshot.capture(router))) == plain(raw)
 
 
 def test_every_stored_timer_is_set_again_with_its_act_subject_and_time():
@@ -141,8 +141,8 @@
 
 def test_a_stored_file_of_books_is_read_and_written_the_same():
     raw = stored("books")
-    kept = books.decode(raw)
-    assert books.encode(kept) == raw
+    kept = snapshot_file.decode(raw)
+    assert snapshot_file.encode(kept) == raw
     assert plain(msgspec.msgpack.encode(kept.books)) == plain(stored("router.msgpack"))
 
 
@@ -188,7 +188,7 @@
     gateway.link.hold(True)
     state.activate(gateway)
     await asyncio.sleep(0)  # adopted connections begin to read
-    again, _ = state.take(gateway)
+    again, _ = state.capture(gateway)
     try:
         return state.encode(again)
     finally:
