--- a/swiftwell/handover/crash.py
+++ b/swiftwell/handover/crash.py
@@ -1,8 +1,8 @@
-"""How much of the last written books may be believed after a kill.  A decision, no I/O.
+"""Decides how much of the last saved snapshot may be used after the process was killed.  No I/O.
 
-Books are written every few seconds.  After a kill nobody knows what the calls in flight did, so none is
-carried; what rules 3, 4 and 5 count is kept whole, as forgetting would allow too much; beliefs fade by the
-times that they carry.
+A snapshot is saved every few seconds.  After a kill nobody knows what became of the calls in flight, so no
+call is restored.  What rules 3, 4 and 5 count (back-off from workers, sends to cold workers, load orders) is
+kept whole, as forgetting it would allow too much.  Estimates of copies expire by the times that they carry.
 """
 
 from __future__ import annotations
@@ -11,69 +11,81 @@
 
 from swiftwell.handover.snapshot import RouterSnapshot, WorkerSnapshot
 
-WRITE_INTERVAL_US = 3_000_000  # us between two writings
-COPIES_MAX_AGE_US = (
-    30_000_000  # us: older books say nothing of warm copies, which others may have pushed out since
-)
-LATENCIES_MAX_AGE_US = (
-    3_600_000_000  # us: older books say nothing of how long calls take or how workers differ
-)
+WRITE_INTERVAL_US = 3_000_000
+COPIES_MAX_AGE_US = 30_000_000  # beyond it, other loads may have evicted the copies
+LATENCIES_MAX_AGE_US = 3_600_000_000  # beyond it, latencies and the differences between workers are outdated
 
 
 def usable_part(
-    books: RouterSnapshot, age_us: int | None, same_boot: bool, shift_us: int = 0
+    snapshot: RouterSnapshot, age_us: int | None, same_boot: bool, shift_us: int = 0
 ) -> RouterSnapshot | None:
-    """The part of written books that a new start takes; None for nothing.
+    """The part of a saved snapshot that a new process may use, or None for nothing.
 
-    `age_us` None: it can't be known.  The books' times are steady ones: after a restart of the machine they
-    mean nothing.  `shift_us`: by so much the dead process's anchor of the wall clock was ahead of ours.
-    Workers' starts are wall times told by the list: unless they are moved by it, each looks like another
-    process's, and everything believed of its copies would be dropped when the list names it.
+    `age_us` is None if it can't be known.  The times in a snapshot are monotonic, so they mean nothing after
+    a restart of the machine.  `shift_us` is how far the dead process's anchor of the wall clock was ahead of
+    ours.  Worker starts are wall-clock times from the worker list: unless they are shifted by it, each worker
+    looks like another process and its estimated copies would be dropped when the list names it.
     """
     if not same_boot or age_us is None or age_us < 0:
         return None
-    fresh, usual = age_us <= COPIES_MAX_AGE_US, age_us <= LATENCIES_MAX_AGE_US
-    workers = [_worker(one, fresh, usual, shift_us) for one in books.workers]
-    if not usual:
-        return replace(_empty(books), workers=workers)
+    copies_usable, latencies_usable = age_us <= COPIES_MAX_AGE_US, age_us <= LATENCIES_MAX_AGE_US
+    workers = [
+        _usable_worker(worker, copies_usable, latencies_usable, shift_us) for worker in snapshot.workers
+    ]
+    if not latencies_usable:
+        return replace(_always_usable(snapshot), workers=workers)
     return replace(
-        _empty(books),
+        _always_usable(snapshot),
         workers=workers,
-        latency=books.latency,
-        usual=books.usual,
-        kind_pace=books.kind_pace,
-        median=books.median,
-        usual_held=books.usual_held,
+        mean_latency_us=snapshot.mean_latency_us,
+        expected_latency=snapshot.expected_latency,
+        kind_relative_latency=snapshot.kind_relative_latency,
+        median_relative_latency=snapshot.median_relative_latency,
+        expected_held=snapshot.expected_held,
     )
 
 
-def _empty(books: RouterSnapshot) -> RouterSnapshot:
-    """What is kept in any case: the windows of rule 5, and no more retries than are left."""
+def _always_usable(snapshot: RouterSnapshot) -> RouterSnapshot:
+    """What is kept at any age: the windows of the load rate limit (rule 5), and the retry tokens that were
+    left, at most half of a full bucket."""
     return RouterSnapshot(
-        taken=books.taken,
-        orders=books.orders,
-        retries=min(books.retries, RouterSnapshot().retries / 2),
-        now=books.now,
+        recent_arrivals=snapshot.recent_arrivals,
+        recent_orders=snapshot.recent_orders,
+        retry_tokens=min(snapshot.retry_tokens, RouterSnapshot().retry_tokens / 2),
+        now=snapshot.now,
     )
 
 
-def _worker(one: WorkerSnapshot, fresh: bool, usual: bool, shift_us: int) -> WorkerSnapshot:
-    """A worker's books without calls; not offered until a list or the worker itself has named it."""
-    kept = WorkerSnapshot(
-        one.worker,
+def _usable_worker(
+    worker: WorkerSnapshot, copies_usable: bool, latencies_usable: bool, shift_us: int
+) -> WorkerSnapshot:
+    """A worker without calls, marked as stopping until a list or the worker itself has confirmed it."""
+    usable = WorkerSnapshot(
+        worker.worker,
         "Stopping",
-        one.kind,
-        one.weight,
-        one.started_us + shift_us if one.started_us else 0,
-        one.zone,
-        one.cell,
-        sends=one.sends,
-        rest_until=one.rest_until,
-        failures=one.failures,
-        warm_at=one.warm_at + shift_us if one.warm_at else 0,
+        worker.kind,
+        worker.weight,
+        worker.started_us + shift_us if worker.started_us else 0,
+        worker.zone,
+        worker.cell,
+        recent_sends=worker.recent_sends,
+        backoff_until=worker.backoff_until,
+        failures=worker.failures,
+        warm_at=worker.warm_at + shift_us if worker.warm_at else 0,
     )
-    if fresh:
-        kept = replace(kept, copies=one.copies, shut=one.shut, refused=one.refused, full_until=one.full_until)
-    if usual:
-        kept = replace(kept, cap=one.cap, pace=one.pace, pace_at=one.pace_at)
-    return kept
+    if copies_usable:
+        usable = replace(
+            usable,
+            copies=worker.copies,
+            load_backoff=worker.load_backoff,
+            rejections=worker.rejections,
+            full_until=worker.full_until,
+        )
+    if latencies_usable:
+        usable = replace(
+            usable,
+            concurrency_limit=worker.concurrency_limit,
+            relative_latency=worker.relative_latency,
+            relative_latency_at=worker.relative_latency_at,
+        )
+    return usable
--- a/swiftwell/handover/snapshot.py
+++ b/swiftwell/handover/snapshot.py
@@ -1,9 +1,9 @@
-"""The module's books as a versioned snapshot, and back.  No I/O.
+"""Captures the state of a router as a versioned snapshot, and restores a router from one.  No I/O.
 
-Every value of `router_state.RouterState` that a decision rests on is in it; what can be derived (preferred
-workers, ready workers, hashes) is not.  The structs are the table of versions: a field that a version does
-not know is dropped, one that is missing takes the default that stands here, which is what a router that has
-just started would have.
+A snapshot holds every value of `router_state.RouterState` that a decision depends on, and leaves out what can
+be derived from those (preferred workers, ready workers, hashes).  The structs define the stored form: an
+unknown field of another version is ignored, and a missing one takes the default given here, which is the
+value in a router that has just started.  `rename` gives the stored name of a field where it differs.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from swiftwell.choice import INITIAL_CONCURRENCY, RATE_SPAN_US, Router
 from swiftwell.interface import Effect, State
 
-# Fields of a request by identifier, with the name that a snapshot stores them under.
-_REQUEST = {name: {"request_class": "band"}.get(name, name) for name in io.Request._fields}
+# Stored name of each field of a request.
+_REQUEST_NAMES = {name: {"request_class": "band"}.get(name, name) for name in io.Request._fields}
 
-# Timers by the method that they call, with the name that a snapshot stores them under.
-_TIMERS = {
+# Stored name of each timer, by the method of the router that the timer calls.
+_TIMER_NAMES = {
     "_sweep": "_sweep",
     "_watch": "_watch",
     "_give_final_answer": "_finish",
@@ -32,20 +32,36 @@
     "_check_late_attempt": "_late",
     "_load_failed": "_load_failed",
 }
-_METHODS = {stored: method for method, stored in _TIMERS.items()}
+_TIMER_METHODS = {stored: method for method, stored in _TIMER_NAMES.items()}
 
 
-class Copies(msgspec.Struct, array_like=True):
-    """A belief: copies, MB of one, since and until when (monotonic us)."""
+class CopiesSnapshot(msgspec.Struct, array_like=True):
+    """The estimated copies of a function at a worker.  Times are monotonic us."""
 
     count: int
-    memory: float
-    since: int
-    fades: int
-
-
-class WorkerSnapshot(msgspec.Struct):
-    """What is known of a worker."""
+    memory_mb: float  # of one copy
+    made_at: int
+    expires_at: int
+
+
+class WorkerSnapshot(
+    msgspec.Struct,
+    rename={
+        "concurrency_limit": "cap",
+        "inflight_by_function": "busy",
+        "pending_loads": "coming",
+        "load_backoff": "shut",
+        "rejections": "refused",
+        "recent_sends": "sends",
+        "silent_since": "quiet_since",
+        "backoff_until": "rest_until",
+        "relative_latency": "pace",
+        "relative_latency_at": "pace_at",
+        "last_answered_sent_at": "answered",
+        "ramp_tokens": "turns",
+    },
+):
+    """The state of a worker."""
 
     worker: str
     state: str = "Running"
@@ -54,170 +70,215 @@
     started_us: int = 0
     zone: str = ""
     cell: int = 0
-    cap: float = INITIAL_CONCURRENCY
+    concurrency_limit: float = INITIAL_CONCURRENCY
     inflight: int = 0
-    busy: dict[str, int] = {}
-    copies: dict[str, Copies] = {}
-    coming: dict[str, Copies] = {}
-    shut: dict[str, int] = {}
-    refused: dict[str, int] = {}
-    sends: list[int] = []
-    quiet_since: int = 0
+    inflight_by_function: dict[str, int] = {}
+    copies: dict[str, CopiesSnapshot] = {}
+    pending_loads: dict[str, CopiesSnapshot] = {}
+    load_backoff: dict[str, int] = {}
+    rejections: dict[str, int] = {}
+    recent_sends: list[int] = []
+    silent_since: int = 0
     full_until: int = 0
-    rest_until: int = 0
+    backoff_until: int = 0
     failures: int = 0
-    pace: float = 1.0
-    pace_at: int = 0
+    relative_latency: float = 1.0
+    relative_latency_at: int = 0
     warm_at: int = 0
-    answered: int = 0
-    turns: tuple[float, int, int] | None = None  # come, used, and when: at it while it starts
+    last_answered_sent_at: int = 0
+    ramp_tokens: tuple[float, int, int] | None = None  # issued, used, time; counted while the worker is cold
 
 
-class FunctionSnapshot(msgspec.Struct):
-    """What is known of a function."""
+class FunctionSnapshot(
+    msgspec.Struct,
+    rename={
+        "arrival_total": "total",
+        "arrival_at": "at",
+        "memory_mb": "memory",
+        "pending_loads": "coming",
+    },
+):
+    """The state of a function.  `arrival_total` and `arrival_at` are its decaying arrival rate."""
 
     name: str
     load_us: float = 800_000.0
-    total: float = 0.0
-    at: int = 0
-    memory: float = 0.0
+    arrival_total: float = 0.0
+    arrival_at: int = 0
+    memory_mb: float = 0.0
     lanes: int = 1
-    coming: int = 0
+    pending_loads: int = 0
     holders: list[str] = []
 
 
-class AttemptSnapshot(msgspec.Struct):
-    """One send of a call."""
+class AttemptSnapshot(
+    msgspec.Struct,
+    rename={
+        "sent_at": "sent",
+        "in_flight": "out",
+        "may_have_run": "maybe_ran",
+        "worker_before_late": "before",
+        "repeat_group": "group",
+    },
+):
+    """An attempt of a call."""
 
     worker: str
-    sent: int
+    sent_at: int
     cold: bool = False
-    out: bool = False
-    maybe_ran: bool = True
-    before: tuple[float, float] | None = None
-    group: str = "all"
+    in_flight: bool = False
+    may_have_run: bool = True
+    worker_before_late: tuple[float, float] | None = None
+    repeat_group: str = "all"
 
 
-class CallSnapshot(msgspec.Struct):
-    """A call, with its request and class as they were told."""
+class CallSnapshot(
+    msgspec.Struct, rename={"request_class": "band", "arrived_at": "arrived", "queued": "held"}
+):
+    """A call with its request and the request class that it arrived with."""
 
     request: dict[str, Any]
-    request_class: dict[str, Any] = msgspec.field(name="band")
+    request_class: dict[str, Any]
     seq: int
-    arrived: int
+    arrived_at: int
     attempts: list[AttemptSnapshot] = []
-    held: bool = False
+    queued: bool = False
     ended: bool = False
     streaming: bool = False
 
 
-class TimerSnapshot(msgspec.Struct):
-    """A timer: its token, what it does, about what, and when it is due (monotonic us)."""
+class TimerSnapshot(msgspec.Struct, rename={"action": "act", "subject": "about", "due_at": "due"}):
+    """A timer: token, stored name of its action, identifiers of its subject, and due time (monotonic us)."""
 
     token: int
-    act: str
-    about: list[str | int]
-    due: int
-
-
-class RouterSnapshot(msgspec.Struct):
-    """The whole of a router."""
+    action: str
+    subject: list[str | int]
+    due_at: int
+
+
+class RouterSnapshot(
+    msgspec.Struct,
+    rename={
+        "queues": "lines",
+        "recent_arrivals": "taken",
+        "recent_orders": "orders",
+        "retry_tokens": "retries",
+        "mean_latency_us": "latency",
+        "arrival_total": "traffic_total",
+        "arrival_at": "traffic_at",
+        "started_at": "born",
+        "warm_count": "warm",
+        "expected_latency": "usual",
+        "kind_relative_latency": "kind_pace",
+        "expected_held": "usual_held",
+        "order_tokens": "orders_left",
+        "median_relative_latency": "median",
+        "recheck_at": "look_at",
+        "resumed_at": "woke",
+        "pending_load_count": "loading",
+    },
+):
+    """The state of a router."""
 
     workers: list[WorkerSnapshot] = []
     functions: list[FunctionSnapshot] = []
     calls: list[CallSnapshot] = []
-    lines: list[tuple[str, str, list[str]]] = []
+    queues: list[tuple[str, str, list[str]]] = []  # function, bound group, identifiers of calls in order
     timers: list[TimerSnapshot] = []
-    taken: list[int] = []
-    orders: list[int] = []
-    retries: float = 10.0
-    latency: float = 0.0
-    traffic_total: float = 0.0
-    traffic_at: int = 0
+    recent_arrivals: list[int] = []
+    recent_orders: list[int] = []
+    retry_tokens: float = 10.0
+    mean_latency_us: float = 0.0
+    arrival_total: float = 0.0
+    arrival_at: int = 0
     served_total: float = 0.0
     served_at: int = 0
-    born: int = 0
-    warm: int = 0
-    usual: dict[str, float] = {}
-    kind_pace: dict[str, float] = {}
-    usual_held: float = 0.0
-    orders_left: float = 1.0
-    median: float = 1.0
-    look_at: int = 0
-    woke: int = 0
-    loading: int = 0
+    started_at: int = 0
+    warm_count: int = 0
+    expected_latency: dict[str, float] = {}
+    kind_relative_latency: dict[str, float] = {}
+    expected_held: float = 0.0
+    order_tokens: float = 1.0
+    median_relative_latency: float = 1.0
+    recheck_at: int = 0
+    resumed_at: int = 0
+    pending_load_count: int = 0
     seq: int = 0
     now: int = 0
 
 
 def encode_request_class(request_class: io.RequestClass) -> dict[str, Any]:
-    """A class as plain values."""
-    out = {one.name: getattr(request_class, one.name) for one in fields(io.RequestClass)}
-    return out | {"effect": request_class.effect.value}
+    """A request class as plain values."""
+    values = {field.name: getattr(request_class, field.name) for field in fields(io.RequestClass)}
+    return values | {"effect": request_class.effect.value}
 
 
-def decode_request_class(told: dict[str, Any]) -> io.RequestClass:
-    """And back."""
-    known = {one.name for one in fields(io.RequestClass)}
+def decode_request_class(values: dict[str, Any]) -> io.RequestClass:
+    """The request class that `encode_request_class` encoded; unknown fields are ignored."""
+    known = {field.name for field in fields(io.RequestClass)}
     return io.RequestClass(
-        **{k: v for k, v in told.items() if k in known} | {"effect": Effect(told["effect"])}
+        **{name: value for name, value in values.items() if name in known}
+        | {"effect": Effect(values["effect"])}
     )
 
 
-def _copies(estimate: rs.CopyEstimate) -> Copies:
-    return Copies(estimate.count, estimate.memory_mb, estimate.made_at, estimate.expires_at)
+def _capture_copies(estimate: rs.CopyEstimate) -> CopiesSnapshot:
+    return CopiesSnapshot(estimate.count, estimate.memory_mb, estimate.made_at, estimate.expires_at)
 
 
-def _timer(router: Router, token: int, act: Any, args: tuple, due: int) -> TimerSnapshot | None:
-    """A timer, unless what it is about has ended: then it would do nothing."""
-    name = _TIMERS.get(getattr(act, "__name__", ""), "")
+def _capture_timer(router: Router, token: int, action: Any, args: tuple, due_at: int) -> TimerSnapshot | None:
+    """A timer, or None if its subject has ended, as the timer would then do nothing."""
+    name = _TIMER_NAMES.get(getattr(action, "__name__", ""), "")
     if name in ("_sweep", "_watch"):
-        return TimerSnapshot(token, name, [], due)
+        return TimerSnapshot(token, name, [], due_at)
     if name in ("_finish", "_half"):
         call = args[0]
         return (
-            TimerSnapshot(token, name, [call.request.id], due)
+            TimerSnapshot(token, name, [call.request.id], due_at)
             if router.calls.get(call.request.id) is call
             else None
         )
     if name == "_late":
-        one = args[0]
-        live = one.in_flight and not one.call.ended and router.calls.get(one.call.request.id) is one.call
-        return TimerSnapshot(token, name, [one.call.request.id, one.number], due) if live else None
+        attempt = args[0]
+        live = (
+            attempt.in_flight
+            and not attempt.call.ended
+            and router.calls.get(attempt.call.request.id) is attempt.call
+        )
+        return TimerSnapshot(token, name, [attempt.call.request.id, attempt.number], due_at) if live else None
     if name == "_load_failed":
         worker, function, order = args
         live = worker.pending_loads.get(function.name) is order
-        return TimerSnapshot(token, name, [worker.entry.worker, function.name], due) if live else None
-    return TimerSnapshot(token, "look", [], due)
+        return TimerSnapshot(token, name, [worker.entry.worker, function.name], due_at) if live else None
+    return TimerSnapshot(token, "look", [], due_at)
 
 
 def capture(router: Router, calls: bool = True) -> RouterSnapshot:
-    """The books of a router, between two of its `handle`s; without calls, lines and timers unless `calls`."""
-    out = RouterSnapshot(
-        taken=list(router.recent_arrivals.times),
-        orders=list(router.recent_orders.times),
-        retries=router.retry_tokens.tokens,
-        latency=router.mean_latency_us,
-        traffic_total=router.arrival_rate.total,
-        traffic_at=router.arrival_rate.at,
+    """The state of a router; call it between two `handle`s.  Calls, queues and timers only if `calls`."""
+    snapshot = RouterSnapshot(
+        recent_arrivals=list(router.recent_arrivals.times),
+        recent_orders=list(router.recent_orders.times),
+        retry_tokens=router.retry_tokens.tokens,
+        mean_latency_us=router.mean_latency_us,
+        arrival_total=router.arrival_rate.total,
+        arrival_at=router.arrival_rate.at,
         served_total=router.served_rate.total,
         served_at=router.served_rate.at,
-        born=router.started_at,
-        warm=router.warm_count,
-        usual=dict(router.expected_latency),
-        kind_pace=dict(router.kind_relative_latency),
-        usual_held=router.expected_held,
-        orders_left=router.order_tokens.tokens,
-        median=router.median_relative_latency,
-        look_at=router.recheck_at,
-        woke=router.resumed_at,
-        loading=router.pending_load_count,
+        started_at=router.started_at,
+        warm_count=router.warm_count,
+        expected_latency=dict(router.expected_latency),
+        kind_relative_latency=dict(router.kind_relative_latency),
+        expected_held=router.expected_held,
+        order_tokens=router.order_tokens.tokens,
+        median_relative_latency=router.median_relative_latency,
+        recheck_at=router.recheck_at,
+        resumed_at=router.resumed_at,
+        pending_load_count=router.pending_load_count,
         seq=router.seq,
         now=router.now,
     )
     for worker in router.workers.values():
         entry = worker.entry
-        out.workers.append(
+        snapshot.workers.append(
             WorkerSnapshot(
                 entry.worker,
                 entry.state.value,
@@ -229,8 +290,8 @@
                 worker.concurrency_limit,
                 worker.inflight,
                 dict(worker.inflight_by_function),
-                {name: _copies(b) for name, b in worker.copies.items()},
-                {name: _copies(b) for name, b in worker.pending_loads.items()},
+                {name: _capture_copies(estimate) for name, estimate in worker.copies.items()},
+                {name: _capture_copies(estimate) for name, estimate in worker.pending_loads.items()},
                 dict(worker.load_backoff),
                 dict(worker.rejections),
                 list(worker.recent_sends.times),
@@ -245,37 +306,37 @@
                 (worker.ramp_tokens.issued, worker.ramp_tokens.used, worker.ramp_tokens.at),
             )
         )
-    for f in router.functions.values():
-        holders = [name for name, worker in f.holders.items() if router.workers.get(name) is worker]
-        out.functions.append(
+    for function in router.functions.values():
+        holders = [name for name, worker in function.holders.items() if router.workers.get(name) is worker]
+        snapshot.functions.append(
             FunctionSnapshot(
-                f.name,
-                f.load_us,
-                f.arrival_rate.total,
-                f.arrival_rate.at,
-                f.memory_mb,
-                f.lanes,
-                f.pending_loads,
+                function.name,
+                function.load_us,
+                function.arrival_rate.total,
+                function.arrival_rate.at,
+                function.memory_mb,
+                function.lanes,
+                function.pending_loads,
                 holders,
             )
         )
     if not calls:
-        return out
+        return snapshot
     for call in router.calls.values():
-        request = {_REQUEST[name]: value for name, value in call.request._asdict().items()}
+        request = {_REQUEST_NAMES[name]: value for name, value in call.request._asdict().items()}
         attempts = [
             AttemptSnapshot(
-                a.worker.entry.worker,
-                a.sent_at,
-                a.cold,
-                a.in_flight,
-                a.may_have_run,
-                a.worker_before_late,
-                a.repeat_group,
+                attempt.worker.entry.worker,
+                attempt.sent_at,
+                attempt.cold,
+                attempt.in_flight,
+                attempt.may_have_run,
+                attempt.worker_before_late,
+                attempt.repeat_group,
             )
-            for a in call.attempts
+            for attempt in call.attempts
         ]
-        out.calls.append(
+        snapshot.calls.append(
             CallSnapshot(
                 request,
                 encode_request_class(call.request_class),
@@ -287,134 +348,186 @@
                 call.streaming,
             )
         )
-    for (function, group), queue in router.queues.items():
-        out.lines.append((function, group, [call.request.id for call in queue if call.queued]))
-    for token, (act, args, due) in router._timers.items():
-        if timer := _timer(router, token, act, args, due):
-            out.timers.append(timer)
-    return out
-
-
-def restore(router: Router, books: RouterSnapshot) -> None:
-    """Give a new router the books of an old one.  Its own settings hold: a class or kind that they lack is
-    carried along for the calls that have it."""
-    router.recent_arrivals.times, router.recent_orders.times = deque(books.taken), deque(books.orders)
-    router.retry_tokens.tokens = min(books.retries, router.retry_tokens.capacity)
-    router.mean_latency_us = books.latency or router.mean_latency_us
-    router.arrival_rate = rs.DecayingRate(RATE_SPAN_US, books.traffic_total, books.traffic_at)
+    for (function_name, group), queue in router.queues.items():
+        snapshot.queues.append((function_name, group, [call.request.id for call in queue if call.queued]))
+    for token, (action, args, due_at) in router._timers.items():
+        if timer := _capture_timer(router, token, action, args, due_at):
+            snapshot.timers.append(timer)
+    return snapshot
+
+
+def restore(router: Router, snapshot: RouterSnapshot) -> None:
+    """Restore a new router from a snapshot.
+
+    The settings of the new router hold.  A request class or worker kind that they lack is kept for the calls
+    that have it.
+    """
+    router.recent_arrivals.times, router.recent_orders.times = (
+        deque(snapshot.recent_arrivals),
+        deque(snapshot.recent_orders),
+    )
+    router.retry_tokens.tokens = min(snapshot.retry_tokens, router.retry_tokens.capacity)
+    router.mean_latency_us = snapshot.mean_latency_us or router.mean_latency_us
+    router.arrival_rate = rs.DecayingRate(RATE_SPAN_US, snapshot.arrival_total, snapshot.arrival_at)
     router.served_rate, router.started_at = (
-        rs.DecayingRate(RATE_SPAN_US, books.served_total, books.served_at),
-        books.born,
+        rs.DecayingRate(RATE_SPAN_US, snapshot.served_total, snapshot.served_at),
+        snapshot.started_at,
     )
-    router.warm_count = books.warm
-    router.expected_latency |= books.usual
-    router.kind_relative_latency = dict(books.kind_pace)
-    router.expected_held, router.median_relative_latency = books.usual_held, books.median
-    router.order_tokens.tokens = min(books.orders_left, router.order_tokens.capacity)
-    router.recheck_at, router.resumed_at, router.pending_load_count = books.look_at, books.woke, books.loading
-    router.seq, router.now = max(1, books.seq), books.now
+    router.warm_count = snapshot.warm_count
+    router.expected_latency |= snapshot.expected_latency
+    router.kind_relative_latency = dict(snapshot.kind_relative_latency)
+    router.expected_held, router.median_relative_latency = (
+        snapshot.expected_held,
+        snapshot.median_relative_latency,
+    )
+    router.order_tokens.tokens = min(snapshot.order_tokens, router.order_tokens.capacity)
+    router.recheck_at, router.resumed_at, router.pending_load_count = (
+        snapshot.recheck_at,
+        snapshot.resumed_at,
+        snapshot.pending_load_count,
+    )
+    router.seq, router.now = max(1, snapshot.seq), snapshot.now
     memory = dict(router.settings.kind_memory_mb)
-    for b in books.workers:
-        entry = io.WorkerEntry(b.worker, State(b.state), b.kind, b.weight, b.started_us, b.zone, b.cell)
+    for stored in snapshot.workers:
+        entry = io.WorkerEntry(
+            stored.worker,
+            State(stored.state),
+            stored.kind,
+            stored.weight,
+            stored.started_us,
+            stored.zone,
+            stored.cell,
+        )
         worker = rs.Worker(
             entry,
-            rs.stable_hash(b.worker),
-            rs.stable_hash(f"{b.worker}/{router.settings.position}"),
-            memory.get(b.kind, math.inf),
-            b.cap,
-            b.inflight,
-            dict(b.busy),
-            {name: rs.CopyEstimate(c.count, c.memory, c.since, c.fades) for name, c in b.copies.items()},
-            {name: rs.CopyEstimate(c.count, c.memory, c.since, c.fades) for name, c in b.coming.items()},
-            dict(b.shut),
-            dict(b.refused),
-            rs.SlidingWindow(deque(b.sends)),
-            b.quiet_since,
-            b.full_until,
-            b.rest_until,
-            b.failures,
-            b.pace,
-            b.pace_at,
-            b.warm_at,
-            b.answered,
+            rs.stable_hash(stored.worker),
+            rs.stable_hash(f"{stored.worker}/{router.settings.position}"),
+            memory.get(stored.kind, math.inf),
+            stored.concurrency_limit,
+            stored.inflight,
+            dict(stored.inflight_by_function),
+            {
+                name: rs.CopyEstimate(copies.count, copies.memory_mb, copies.made_at, copies.expires_at)
+                for name, copies in stored.copies.items()
+            },
+            {
+                name: rs.CopyEstimate(copies.count, copies.memory_mb, copies.made_at, copies.expires_at)
+                for name, copies in stored.pending_loads.items()
+            },
+            dict(stored.load_backoff),
+            dict(stored.rejections),
+            rs.SlidingWindow(deque(stored.recent_sends)),
+            stored.silent_since,
+            stored.full_until,
+            stored.backoff_until,
+            stored.failures,
+            stored.relative_latency,
+            stored.relative_latency_at,
+            stored.warm_at,
+            stored.last_answered_sent_at,
         )
-        if b.turns:
-            worker.ramp_tokens = rs.RampTokens(*b.turns)
+        if stored.ramp_tokens:
+            worker.ramp_tokens = rs.RampTokens(*stored.ramp_tokens)
         worker.preference = (worker.entry.zone != router.settings.zone, -worker.tie_hash)
-        router.workers[b.worker] = worker
+        router.workers[stored.worker] = worker
     router.ring.update(list(router.workers.values()))
     router.list_version = 1
-    for f in books.functions:
+    for stored_function in snapshot.functions:
         function = rs.Function(
-            f.name, rs.stable_hash(f.name), f.load_us, rs.DecayingRate(RATE_SPAN_US, f.total, f.at)
+            stored_function.name,
+            rs.stable_hash(stored_function.name),
+            stored_function.load_us,
+            rs.DecayingRate(RATE_SPAN_US, stored_function.arrival_total, stored_function.arrival_at),
         )
-        function.memory_mb, function.lanes, function.pending_loads = f.memory, f.lanes, f.coming
-        function.holders = {name: router.workers[name] for name in f.holders if name in router.workers}
-        router.functions[f.name] = function
-    for c in books.calls:
-        _call(router, c)
-    for function_name, group, ids in books.lines:
-        queue = deque(router.calls[one] for one in ids if one in router.calls)
+        function.memory_mb, function.lanes, function.pending_loads = (
+            stored_function.memory_mb,
+            stored_function.lanes,
+            stored_function.pending_loads,
+        )
+        function.holders = {
+            name: router.workers[name] for name in stored_function.holders if name in router.workers
+        }
+        router.functions[stored_function.name] = function
+    for stored_call in snapshot.calls:
+        _restore_call(router, stored_call)
+    for function_name, group, call_ids in snapshot.queues:
+        queue = deque(router.calls[call_id] for call_id in call_ids if call_id in router.calls)
         if queue:
             router.queues[function_name, group] = queue
-    for timer in books.timers:
-        _timer_in(router, timer)
+    for timer in snapshot.timers:
+        _restore_timer(router, timer)
 
 
-def _call(router: Router, c: CallSnapshot) -> None:
+def _restore_call(router: Router, stored: CallSnapshot) -> None:
     request = io.Request(
-        **{name: c.request[stored] for name, stored in _REQUEST.items() if stored in c.request}
+        **{
+            name: stored.request[stored_name]
+            for name, stored_name in _REQUEST_NAMES.items()
+            if stored_name in stored.request
+        }
+    )
+    request_class = router.request_classes.get(request.request_class) or decode_request_class(
+        stored.request_class
     )
-    request_class = router.request_classes.get(request.request_class) or decode_request_class(c.request_class)
     router.expected_latency.setdefault(request_class.name, request_class.target_us / 4)
     function = router.functions.get(request.function)
     if function is None:
-        load = request.load_us or 800_000
+        load_us = request.load_us or 800_000
         function = rs.Function(
             request.function,
             rs.stable_hash(request.function),
-            load,
+            load_us,
             rs.DecayingRate(RATE_SPAN_US),
             request.memory_mb,
             request.lanes,
         )
         router.functions[request.function] = function
-    kinds = f"class {request_class.name}", f"tenant {request.tenant}"
-    call = rs.Call(request, request_class, function, c.seq, c.arrived, kinds)
-    call.queued, call.ended, call.streaming = c.held, c.ended, c.streaming
-    for number, a in enumerate(c.attempts):
-        worker = router.workers.get(a.worker)
-        if worker is None:  # it was forgotten: nothing of ours is out there
-            entry = io.WorkerEntry(a.worker, State.GONE, "", 1.0, 0, "", 0)
+    rejection_keys = f"class {request_class.name}", f"tenant {request.tenant}"
+    call = rs.Call(request, request_class, function, stored.seq, stored.arrived_at, rejection_keys)
+    call.queued, call.ended, call.streaming = stored.queued, stored.ended, stored.streaming
+    for number, stored_attempt in enumerate(stored.attempts):
+        worker = router.workers.get(stored_attempt.worker)
+        if worker is None:  # the router had removed the worker: none of its calls is in flight there
+            entry = io.WorkerEntry(stored_attempt.worker, State.GONE, "", 1.0, 0, "", 0)
             worker = rs.Worker(entry, 0, 0, math.inf, INITIAL_CONCURRENCY)
-        attempt = rs.Attempt(call, number, worker, a.sent, a.cold, a.out, a.maybe_ran, a.group, a.before)
+        attempt = rs.Attempt(
+            call,
+            number,
+            worker,
+            stored_attempt.sent_at,
+            stored_attempt.cold,
+            stored_attempt.in_flight,
+            stored_attempt.may_have_run,
+            stored_attempt.repeat_group,
+            stored_attempt.worker_before_late,
+        )
         call.attempts.append(attempt)
     router.calls[request.id] = call
 
 
-def _timer_in(router: Router, timer: TimerSnapshot) -> None:
-    act: Any = None
+def _restore_timer(router: Router, timer: TimerSnapshot) -> None:
+    action: Any = None
     args: tuple = ()
-    match timer.act, timer.about:
+    match timer.action, timer.subject:
         case (("_sweep" | "_watch"), _):
-            act = getattr(router, _METHODS[timer.act])
-        case (("_finish" | "_half"), [str(call)]) if call in router.calls:
-            act, args = getattr(router, _METHODS[timer.act]), (router.calls[call],)
-        case "_late", [str(call), int(number)] if call in router.calls:
-            act, args = router._check_late_attempt, (router.calls[call].attempts[number],)
+            action = getattr(router, _TIMER_METHODS[timer.action])
+        case (("_finish" | "_half"), [str(call_id)]) if call_id in router.calls:
+            action, args = getattr(router, _TIMER_METHODS[timer.action]), (router.calls[call_id],)
+        case "_late", [str(call_id), int(number)] if call_id in router.calls:
+            action, args = router._check_late_attempt, (router.calls[call_id].attempts[number],)
         case "_load_failed", [str(name), str(function)] if (
             name in router.workers and function in router.functions
         ):
             worker = router.workers[name]
-            act, args = (
+            action, args = (
                 router._load_failed,
                 (worker, router.functions[function], worker.pending_loads.get(function)),
             )
         case "look", _:
-            act = _nothing
-    if act:
-        router._timers[timer.token] = (act, args, timer.due)
+            action = _no_action
+    if action:
+        router._timers[timer.token] = (action, args, timer.due_at)
 
 
-def _nothing() -> None:
-    """A batch to look again in."""
+def _no_action() -> None:
+    """Action of a recheck timer: the batch that the timer causes rechecks the queues."""
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -113,13 +113,17 @@
     assert crash.usable_part(taken, -1, True) is None
     for age in (1, crash.COPIES_MAX_AGE_US + 1, crash.LATENCIES_MAX_AGE_US + 1):
         told = crash.usable_part(taken, age, True)
-        assert not told.calls and not told.timers and not any(w.inflight or w.busy for w in told.workers)
-        assert told.orders == taken.orders and [w.sends for w in told.workers] == [
-            w.sends for w in taken.workers
+        assert (
+            not told.calls
+            and not told.timers
+            and not any(w.inflight or w.inflight_by_function for w in told.workers)
+        )
+        assert told.recent_orders == taken.recent_orders and [w.recent_sends for w in told.workers] == [
+            w.recent_sends for w in taken.workers
         ]
         assert any(w.copies for w in told.workers) == (age <= crash.COPIES_MAX_AGE_US)
-        assert (told.usual == taken.usual) == (age <= crash.LATENCIES_MAX_AGE_US)
-        assert told.retries <= 5 and {w.state for w in told.workers} == {"Stopping"}
+        assert (told.expected_latency == taken.expected_latency) == (age <= crash.LATENCIES_MAX_AGE_US)
+        assert told.retry_tokens <= 5 and {w.state for w in told.workers} == {"Stopping"}
 
 
 def test_books_of_a_process_with_another_anchor_are_of_the_same_workers(tmp_path):
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -141,9 +141,9 @@
 
 def test_a_stored_file_of_books_is_read_and_written_the_same():
     raw = stored("books")
-    kept = snapshot_file.decode(raw)
-    assert snapshot_file.encode(kept) == raw
-    assert plain(msgspec.msgpack.encode(kept.books)) == plain(stored("router.msgpack"))
+    saved_snapshot = snapshot_file.decode(raw)
+    assert snapshot_file.encode(saved_snapshot) == raw
+    assert plain(msgspec.msgpack.encode(saved_snapshot.router)) == plain(stored("router.msgpack"))
 
 
 # A gateway's state.
