--- a/swiftwell/handover/fault.py
+++ b/swiftwell/handover/fault.py
@@ -1,4 +1,4 @@
-"""Faults that a test or a day puts into a handover; outside of them `step` does nothing."""
+"""Fault injection for tests and days of a handover; without the environment variable it does nothing."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 import time
 
 
-def step(name: str) -> None:
-    """End or hang this process where SWIFTWELL_HANDOVER_FAULT, KIND:STEP, says so; KIND is crash, hang or
-    lie."""
+def inject(step: str) -> None:
+    """Crash or hang this process at a step, if SWIFTWELL_HANDOVER_FAULT names it as KIND:STEP.
+
+    KIND is crash, hang or lie; lie is handled where the hello is sent.
+    """
     kind, _, at = os.environ.get("SWIFTWELL_HANDOVER_FAULT", "").partition(":")
-    if at != name:
+    if at != step:
         return
     if kind == "crash":
         os.kill(os.getpid(), signal.SIGKILL)
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -281,7 +281,7 @@
     return found
 
 
-def listening(gateway: Gateway) -> list[tuple[str, str, int]]:
+def listening_sockets(gateway: Gateway) -> list[tuple[str, str, int]]:
     """Name, address and port of every listening socket."""
     return [
         (name, *sock.getsockname()[:2])
--- a/swiftwell/handover/successor.py
+++ b/swiftwell/handover/successor.py
@@ -1,7 +1,6 @@
-"""The new process's side: ask the old one for everything, be ready, and own it.
+"""The new process's side of a handover: it connects to the old process, restores its state and takes over.
 
-`step` is a place where a test (or a day) ends or hangs this process, named by the environment; outside of
-them it does nothing.
+`fault.inject` marks each step, at which a test or a day can make this process crash or hang.
 """
 
 from __future__ import annotations
@@ -13,21 +12,27 @@
 from swiftwell import __version__
 from swiftwell.handover import state
 from swiftwell.handover.channel import Channel, HandoverError
-from swiftwell.handover.fault import step
-from swiftwell.handover.predecessor import FROZEN_S, HELLO_S, LEAST, PROTOCOL, socket_path
+from swiftwell.handover.fault import inject
+from swiftwell.handover.predecessor import (
+    FROZEN_STEP_TIMEOUT_S,
+    HELLO_TIMEOUT_S,
+    MIN_PROTOCOL,
+    PROTOCOL,
+    socket_path,
+)
 
 if TYPE_CHECKING:
     from swiftwell.gateway.shell import Gateway
 
 STEPS = ("connected", "hello", "offer", "prepared", "state", "fds", "restored", "commit", "owned")
-PATIENCE_S = 10.0  # s for the old process to come to rest and give its state
+STATE_TIMEOUT_S = 10.0  # for the old process to freeze and send its state
 
 
 def connect(state_folder: str) -> Channel | None:
-    """The channel to the running gateway; None where none runs there."""
+    """A channel to the gateway that runs on this state folder, or None if none does."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
-        sock.settimeout(HELLO_S)
+        sock.settimeout(HELLO_TIMEOUT_S)
         sock.connect(str(socket_path(state_folder)))
     except OSError:
         sock.close()
@@ -36,38 +41,40 @@
 
 
 def take_over(channel: Channel, gateway: Gateway) -> None:
-    """Take over: returns when this process owns everything.  Raises HandoverError where it does not, and must end.
+    """Take over from the old process; returns once this process owns its state and sockets.
 
-    Nothing is done to what was received before `owned` has been sent; if that can't be sent, the old process
-    carries on.
+    Raises HandoverError if it does not own them: then it must exit, and the old process carries on.  Before
+    `owned` has been sent, nothing is read from or written to a received socket.
     """
-    step("connected")
-    told_protocol = 99 if os.environ.get("SWIFTWELL_HANDOVER_FAULT") == "lie:hello" else PROTOCOL
-    least = told_protocol if told_protocol == 99 else LEAST
+    inject("connected")
+    protocol = 99 if os.environ.get("SWIFTWELL_HANDOVER_FAULT") == "lie:hello" else PROTOCOL
+    min_protocol = protocol if protocol == 99 else MIN_PROTOCOL
     name = gateway.site.name
-    channel.send("hello", HELLO_S, protocol=told_protocol, least=least, version=__version__, name=name)
-    step("hello")
-    offer = channel.receive(HELLO_S, "offer")
-    step("offer")
+    channel.send(
+        "hello", HELLO_TIMEOUT_S, protocol=protocol, least=min_protocol, version=__version__, name=name
+    )
+    inject("hello")
+    offer = channel.receive(HELLO_TIMEOUT_S, "offer")
+    inject("offer")
     if "listeners" in offer:
         try:
-            # Found now, while the old process serves: after the commit nobody could carry on.
+            # Opened while the old process still serves: after the commit an error would leave nobody serving.
             gateway.open_new([(name, address, port) for name, address, port in offer["listeners"]])
         except (OSError, ValueError, TypeError) as error:
             raise HandoverError(f"a new listener can't be opened: {error}") from error
-    channel.send("prepared", HELLO_S)
-    step("prepared")
-    told = channel.receive(PATIENCE_S, "state")
-    step("state")
-    fds = channel.receive_fds(int(told["fds"]), FROZEN_S)
-    step("fds")
+    channel.send("prepared", HELLO_TIMEOUT_S)
+    inject("prepared")
+    message = channel.receive(STATE_TIMEOUT_S, "state")
+    inject("state")
+    fds = channel.receive_fds(int(message["fds"]), FROZEN_STEP_TIMEOUT_S)
+    inject("fds")
     try:
-        state.restore(gateway, state.decode(told["state"]), fds)
-    except Exception as error:  # whatever is wrong with the state: the old process carries on
+        state.restore(gateway, state.decode(message["state"]), fds)
+    except Exception as error:  # of any kind: the old process can still carry on
         raise HandoverError(f"the state can't be restored: {type(error).__name__}: {error}") from error
-    channel.send("restored", FROZEN_S)
-    step("restored")
-    channel.receive(FROZEN_S, "commit")
-    step("commit")
-    channel.send("owned", FROZEN_S)
-    step("owned")
+    channel.send("restored", FROZEN_STEP_TIMEOUT_S)
+    inject("restored")
+    channel.receive(FROZEN_STEP_TIMEOUT_S, "commit")
+    inject("commit")
+    channel.send("owned", FROZEN_STEP_TIMEOUT_S)
+    inject("owned")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -27,7 +27,7 @@
 from swiftwell.gateway.clock import Clock
 from swiftwell.handover import crash, snapshot, snapshot_file, state, successor
 from swiftwell.handover.channel import Channel, HandoverError
-from swiftwell.handover.predecessor import _agree, socket_path
+from swiftwell.handover.predecessor import _check_compatible, socket_path
 from swiftwell.handover.successor import STEPS
 
 LOADS = replace(ORDERS, classes=SETTINGS.classes, load_free=50, load_share=1, load_window_us=5_000_000)
@@ -190,7 +190,7 @@
 
 def test_who_may_take_over():
     good = {"protocol": 1, "least": 1, "name": "gw"}
-    _agree(good, "gw")
+    _check_compatible(good, "gw")
     for bad in (
         {"protocol": 0, "least": 0},
         {"protocol": 9, "least": 9},
@@ -199,7 +199,7 @@
         {"name": "x"},
     ):
         with pytest.raises(HandoverError):
-            _agree(good | bad, "gw")
+            _check_compatible(good | bad, "gw")
 
 
 def test_the_last_word_is_read_or_can_not_be_sent():
