--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,5 +1,5 @@
-"""Handover: books and state go through unchanged; a real gateway is replaced under its clients, and carries
-on when the new one fails at any step."""
+"""Snapshot, state and handover: a restored router or gateway equals the captured one; real processes replace
+each other under load, and the old one carries on when the new one fails at any step before the commit."""
 
 import asyncio
 import json
@@ -35,160 +35,162 @@
 
 def busy(seed, settings=LOADS):
     """An engine in the middle of its work."""
-    chance = random.Random(seed)
+    random_ = random.Random(seed)
     play = Play(settings, workers=[f"w{n}" for n in range(6)])
     for number in range(120):
-        request_class = chance.choice(["safe", "keyed", "unsafe"])
+        request_class = random_.choice(["safe", "keyed", "unsafe"])
         play.call(
             request_class,
             f"k{number}",
-            function=f"f{chance.randrange(9)}",
-            left=chance.randrange(300_000, 3_000_000),
+            function=f"f{random_.randrange(9)}",
+            left=random_.randrange(300_000, 3_000_000),
         )
-        play.wait(chance.randrange(0, 30_000), 5_000)
+        play.wait(random_.randrange(0, 30_000), 5_000)
         for start in only(play.out, ports.Start):
-            if chance.random() < 0.5:
-                status = chance.choice(
+            if random_.random() < 0.5:
+                status = random_.choice(
                     [io.Status.OK] * 6 + [io.Status.FULL, io.Status.RESET, io.Status.CONNECT_FAILED]
                 )
                 play.end(start, status)
         for order in only(play.out, ports.Order):
-            if chance.random() < 0.6:
+            if random_.random() < 0.6:
                 play.do(ports.OrderEnd(order.number, io.Status.OK, 1))
         play.out.clear()
     return play
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_books_put_back_and_taken_again_are_the_same(seed):
+def test_a_restored_snapshot_is_captured_again_the_same(seed):
     router = busy(seed).engine.router
-    taken = snapshot.capture(router)
-    assert taken.calls and taken.timers and any(worker.copies for worker in taken.workers)
-    raw = msgspec.msgpack.encode(taken)
+    captured = snapshot.capture(router)
+    assert captured.calls and captured.timers and any(worker.copies for worker in captured.workers)
+    raw = msgspec.msgpack.encode(captured)
     other = Router(LOADS, 1)
     snapshot.restore(other, msgspec.msgpack.decode(raw, type=snapshot.RouterSnapshot))
-    assert snapshot.capture(other) == taken
+    assert snapshot.capture(other) == captured
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_router_with_books_put_back_decides_as_the_old_one_would(seed):
+def test_a_router_restored_from_a_snapshot_decides_as_the_old_one_would(seed):
     play = busy(seed)
     old = play.engine.router
     new = Router(LOADS, 1)
     snapshot.restore(new, snapshot.capture(old))
     for function in (*old.functions.values(), *new.functions.values()):
-        function.list_version = -1  # preferred workers are made again in both
+        function.list_version = -1  # preferred workers are computed again in both routers
         function.preferred_count = 0
     now = play.now
     for number in range(60):
         now += 20_000
         request = io.Request(f"n{number}", "safe", "t", f"f{number % 9}", 2_000_000, 0, 100.0, 4, 0, False)
-        due = sorted(t for t, (_, _, at) in old._timers.items() if at <= now)
+        due = sorted(token for token, (_, _, due_at) in old._timers.items() if due_at <= now)
         events = [request, *(io.Timer(token) for token in due if token in new._timers)]
-        left = [act for act in old.handle(now, list(events)) if not isinstance(act, io.SetTimer)]
-        right = [act for act in new.handle(now, list(events)) if not isinstance(act, io.SetTimer)]
-        assert left == right, number
+        expected = [action for action in old.handle(now, list(events)) if not isinstance(action, io.SetTimer)]
+        actions = [action for action in new.handle(now, list(events)) if not isinstance(action, io.SetTimer)]
+        assert expected == actions, number
 
 
 def test_a_state_of_another_version_is_read_with_defaults():
     plain = msgspec.to_builtins(snapshot.capture(busy(1).engine.router))
-    plain["workers"][0]["grown"] = {"in": "a later version"}  # not known here: dropped
+    plain["workers"][0]["grown"] = {"in": "a later version"}  # unknown here: ignored
     for worker in plain["workers"]:
-        del worker["pace"], worker["failures"]  # of an earlier version: defaulted
+        del worker["pace"], worker["failures"]  # missing in an earlier version: the default
     plain["newer"] = 1
     read = msgspec.convert(plain, snapshot.RouterSnapshot)
     router = Router(LOADS, 1)
     snapshot.restore(router, read)
     assert all(worker.relative_latency == 1.0 and worker.failures == 0 for worker in router.workers.values())
-    told = msgspec.msgpack.encode({"version": 9, "name": "x", "later": [1], "router": plain})
-    assert state.decode(told).name == "x"
+    encoded = msgspec.msgpack.encode({"version": 9, "name": "x", "later": [1], "router": plain})
+    assert state.decode(encoded).name == "x"
     for raw in (b"", b"\xc1", msgspec.msgpack.encode({"calls": 5})):
         with pytest.raises(msgspec.DecodeError):
             state.decode(raw)
 
 
-def test_after_a_kill_beliefs_are_taken_by_their_age_and_calls_never():
-    taken = snapshot.capture(busy(1).engine.router)
-    assert crash.usable_part(taken, 0, False) is None and crash.usable_part(taken, None, True) is None
-    assert crash.usable_part(taken, -1, True) is None
+def test_after_a_kill_a_snapshot_is_used_by_its_age_and_its_calls_never():
+    captured = snapshot.capture(busy(1).engine.router)
+    assert crash.usable_part(captured, 0, False) is None and crash.usable_part(captured, None, True) is None
+    assert crash.usable_part(captured, -1, True) is None
     for age in (1, crash.COPIES_MAX_AGE_US + 1, crash.LATENCIES_MAX_AGE_US + 1):
-        told = crash.usable_part(taken, age, True)
+        usable = crash.usable_part(captured, age, True)
         assert (
-            not told.calls
-            and not told.timers
-            and not any(w.inflight or w.inflight_by_function for w in told.workers)
+            not usable.calls
+            and not usable.timers
+            and not any(worker.inflight or worker.inflight_by_function for worker in usable.workers)
         )
-        assert told.recent_orders == taken.recent_orders and [w.recent_sends for w in told.workers] == [
-            w.recent_sends for w in taken.workers
-        ]
-        assert any(w.copies for w in told.workers) == (age <= crash.COPIES_MAX_AGE_US)
-        assert (told.expected_latency == taken.expected_latency) == (age <= crash.LATENCIES_MAX_AGE_US)
-        assert told.retry_tokens <= 5 and {w.state for w in told.workers} == {"Stopping"}
+        assert usable.recent_orders == captured.recent_orders and [
+            worker.recent_sends for worker in usable.workers
+        ] == [worker.recent_sends for worker in captured.workers]
+        assert any(worker.copies for worker in usable.workers) == (age <= crash.COPIES_MAX_AGE_US)
+        assert (usable.expected_latency == captured.expected_latency) == (age <= crash.LATENCIES_MAX_AGE_US)
+        assert usable.retry_tokens <= 5 and {worker.state for worker in usable.workers} == {"Stopping"}
 
 
-def test_books_of_a_process_with_another_anchor_are_of_the_same_workers(tmp_path):
-    """Two processes never read the same difference between the two clocks: a worker's start moves with it."""
+def test_a_snapshot_of_a_process_with_another_anchor_is_of_the_same_workers(tmp_path):
+    """Two processes never read the same difference between the two clocks.  Without the shift by it, each
+    worker's start would look like another process's, and its copies would be forgotten."""
     wall_ms = 1_700_000_000_000.25
-    one, two = Clock(), Clock()
-    one.anchor_us, two.anchor_us = 1_699_000_000_000_000, 1_699_000_000_000_777
+    old_clock, new_clock = Clock(), Clock()
+    old_clock.anchor_us, new_clock.anchor_us = 1_699_000_000_000_000, 1_699_000_000_000_777
     old = busy(3)
     for worker in old.engine.router.workers.values():
-        worker.entry = replace(worker.entry, started_us=one.started_us(wall_ms))
-    kept = snapshot_file.SnapshotFile(tmp_path, lambda *a, **k: None, lambda act: None)
-    kept.write_if_due(old.now, lambda: snapshot.capture(old.engine.router, calls=False), one.anchor_us)
-    kept.close()
-    believed = kept.load(old.now + 1_000_000, two.anchor_us)
-    assert {worker.started_us for worker in believed.workers} == {two.started_us(wall_ms)}
+        worker.entry = replace(worker.entry, started_us=old_clock.started_us(wall_ms))
+    file = snapshot_file.SnapshotFile(tmp_path, lambda *a, **k: None, lambda callback: None)
+    file.write_if_due(old.now, lambda: snapshot.capture(old.engine.router, calls=False), old_clock.anchor_us)
+    file.close()
+    usable = file.load(old.now + 1_000_000, new_clock.anchor_us)
+    assert {worker.started_us for worker in usable.workers} == {new_clock.started_us(wall_ms)}
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
-    play.engine.restore_router_state(believed)
-    start = two.started_us(wall_ms)
+    play.engine.restore_router_state(usable)
+    start = new_clock.started_us(wall_ms)
     workers = old.engine.router.workers.values()
-    # A saved list first, whose starts went through other readings of the clocks, then the live one.
+    # First a saved list, whose starts were converted by another anchor, then the live list.
     saved = tuple((replace(worker.entry, started_us=start + 9), 1_000_000) for worker in workers)
     play.do(ports.Saved(saved))
     live = tuple(replace(worker.entry, started_us=start) for worker in workers)
     play.do(ports.Listed(io.Members(io.ListKind.FULL, live)))
     play.wait(1_100_000, 10_000)
     warm = [worker for worker in play.engine.router.workers.values() if worker.copies]
-    assert len(warm) == sum(bool(worker.copies) for worker in believed.workers) > 0
+    assert len(warm) == sum(bool(worker.copies) for worker in usable.workers) > 0
 
 
-def test_a_start_with_believed_books_offers_no_worker_before_a_list_names_it():
+def test_a_start_with_a_saved_snapshot_uses_no_worker_before_a_list_names_it():
     old = busy(2)
-    warm = {w.worker: set(w.copies) for w in snapshot.capture(old.engine.router).workers}
+    warm = {worker.worker: set(worker.copies) for worker in snapshot.capture(old.engine.router).workers}
     play = Play(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
     play.engine.restore_router_state(crash.usable_part(snapshot.capture(old.engine.router), 1_000_000, True))
     assert not only(play.call(function="f1"), ports.Start)
-    entries = tuple(w.entry for w in old.engine.router.workers.values())[:4]
+    entries = tuple(worker.entry for worker in old.engine.router.workers.values())[:4]
     play.do(ports.Listed(io.Members(io.ListKind.FULL, entries)))
     play.wait(1_100_000, 10_000)
-    assert set(play.engine.router.workers) == {e.worker for e in entries}
-    kept = [w for w in entries if play.engine.router.workers[w.worker].copies]
-    assert kept and all(
-        set(play.engine.router.workers[w.worker].copies) <= warm[w.worker] | {"f1"} for w in kept
+    assert set(play.engine.router.workers) == {entry.worker for entry in entries}
+    with_copies = [entry for entry in entries if play.engine.router.workers[entry.worker].copies]
+    assert with_copies and all(
+        set(play.engine.router.workers[entry.worker].copies) <= warm[entry.worker] | {"f1"}
+        for entry in with_copies
     )
 
 
-def test_books_on_disk_are_used_whole_or_not_at_all(tmp_path):
-    lines, posts = [], []
-    one = snapshot_file.SnapshotFile(tmp_path, lambda *a, **k: lines.append(a[1]), posts.append)
-    assert one.load(0) is None and not lines
+def test_a_snapshot_file_is_used_whole_or_not_at_all(tmp_path):
+    events, posted = [], []
+    file = snapshot_file.SnapshotFile(tmp_path, lambda *a, **k: events.append(a[1]), posted.append)
+    assert file.load(0) is None and not events
     router = busy(1).engine.router
-    one.write_if_due(10_000_000, lambda: snapshot.capture(router, calls=False))
-    one.close()
-    assert [w.worker for w in one.load(11_000_000).workers] == list(router.workers)
+    file.write_if_due(10_000_000, lambda: snapshot.capture(router, calls=False))
+    file.close()
+    assert [worker.worker for worker in file.load(11_000_000).workers] == list(router.workers)
     raw = (tmp_path / "books").read_bytes()
     for bad in (raw[:-1], raw[:9], b"", b"x" + raw[1:], raw[:-1] + bytes((raw[-1] ^ 1,))):
         (tmp_path / "books").write_bytes(bad)
-        assert one.load(0) is None
-    assert lines.count("books-unusable") == 5
+        assert file.load(0) is None
+    assert events.count("books-unusable") == 5
 
 
-def test_who_may_take_over():
+def test_only_a_compatible_process_of_the_same_gateway_may_take_over():
     good = {"protocol": 1, "least": 1, "name": "gw"}
     _check_compatible(good, "gw")
     for bad in (
@@ -202,7 +204,7 @@
             _check_compatible(good | bad, "gw")
 
 
-def test_the_last_word_is_read_or_can_not_be_sent():
+def test_after_the_shutdown_owned_has_been_read_or_can_not_be_sent():
     for sent in (True, False):
         a, b = socket.socketpair()
         left, right = Channel(a), Channel(b)
@@ -213,7 +215,7 @@
             right.send("owned", 1)
 
 
-def test_a_channel_breaks_on_what_is_no_message():
+def test_a_channel_fails_on_malformed_messages():
     for raw in (b"\xff\xff\xff\xff", b"\0\0\0\1\xc1", b"\0\0\0\1\x80", b"\0\0"):
         a, b = socket.socketpair()
         b.sendall(raw)
@@ -227,7 +229,7 @@
 
 @asynccontextmanager
 async def running(folder, worker, **env):
-    """A gateway process and a function that starts another which takes over: (port, successor, pids)."""
+    """Run a gateway process; yields its port, a function that starts a successor, and the processes."""
     site = folder / "s.kdl"
     listener = folder / "port"
     pids = []
@@ -241,11 +243,11 @@
             ).replace("mqtt-listener port=0", f"mqtt-listener port={port}")
         )  # fmt: skip
 
-    async def start(*words, **more):
+    async def start(*arguments, **environment):
         with open(folder / "log", "ab") as err:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "swiftwell", "serve", str(site), "--ready", *words,
-                stdout=asyncio.subprocess.PIPE, stderr=err, env=os.environ | more,
+                sys.executable, "-m", "swiftwell", "serve", str(site), "--ready", *arguments,
+                stdout=asyncio.subprocess.PIPE, stderr=err, env=os.environ | environment,
             )  # fmt: skip
         line = await process.stdout.readline()
         if line:
@@ -254,18 +256,18 @@
         return process, {}
 
     write(0)
-    first, told = await start(**env)
-    listener.write_text(str(told["listener"]))
-    write(told["listener"])
+    first, ready = await start(**env)
+    listener.write_text(str(ready["listener"]))
+    write(ready["listener"])
     processes = [first]
 
-    async def successor(**more):
-        process, told = await start("--take-over", **more)
+    async def successor(**environment):
+        process, ready = await start("--take-over", **environment)
         processes.append(process)
-        return process, told
+        return process, ready
 
     try:
-        yield told["listener"], successor, processes
+        yield ready["listener"], successor, processes
     finally:
         for process in processes:
             if process.returncode is None:
@@ -279,24 +281,24 @@
     writer.write(http(b"%d" % number))
 
 
-async def steady(console, seconds, kinds, request_class="consigna"):
-    """Calls one after the other; each must be answered once."""
-    until = time.monotonic() + seconds
+async def steady(console, seconds, answers, request_class="consigna"):
+    """Make calls one after the other, and add the answer of each to `answers`."""
+    deadline = time.monotonic() + seconds
     number = 0
-    while time.monotonic() < until:
+    while time.monotonic() < deadline:
         number += 1
-        kinds.append(
+        answers.append(
             await console.call(request_class, f"{request_class}-{id(console)}-{number}", timeout=2_900)
         )
 
 
-def calm(kinds):
-    """Nothing failed, and a busy machine had the module refuse few."""
-    assert "failed" not in {kind for kind, _ in kinds}
-    assert kinds.count(("served", "ok")) >= 0.7 * len(kinds), kinds
+def assert_undisturbed(answers):
+    """No call failed; up to 30 % may be refused, as a busy machine makes some late."""
+    assert "failed" not in {kind for kind, _ in answers}
+    assert answers.count(("served", "ok")) >= 0.7 * len(answers), answers
 
 
-def test_clients_calls_and_beliefs_move_to_the_new_process(tmp_path):
+def test_clients_and_calls_move_to_the_new_process(tmp_path):
     async def main():
         calls = []
 
@@ -306,41 +308,43 @@
 
         async with raw_worker(keep) as worker, running(tmp_path, worker) as (port, successor, processes):
             consoles = [await Console(f"c{n}").connect(port) for n in range(4)]
-            connections = [c.client.connection for c in consoles]
-            kinds = []
-            load = [asyncio.ensure_future(steady(c, 6.0, kinds)) for c in consoles]
-            # A client that sends one byte at a time, through every handover.
+            connections = [console.client.connection for console in consoles]
+            answers = []
+            load = [asyncio.ensure_future(steady(console, 6.0, answers)) for console in consoles]
+            # A client that sends its bytes one at a time, throughout all handovers.
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             raw = encode(Connect("bytes"), 5)
             props = {"response_topic": "a", "correlation_data": b"b", "user": [("key", "b")]}
             raw += encode(Publish("calls/t/consigna/f", b"x", 1, id=1, properties=props), 5)
 
-            async def drip():
+            async def send_slowly():
                 for byte in raw:
                     writer.write(bytes((byte,)))
                     await asyncio.sleep(0.04)
 
-            dripping = asyncio.ensure_future(drip())
+            slow_sender = asyncio.ensure_future(send_slowly())
             for _ in range(3):
                 await asyncio.sleep(0.4)
-                _, told = await successor()
-                assert told["listener"] == port
+                _, ready = await successor()
+                assert ready["listener"] == port
                 await asyncio.wait_for(processes[-2].wait(), 5)
                 assert processes[-2].returncode == 0
-            await asyncio.gather(*load, dripping)
-            calm(kinds)
-            assert len(kinds) > 30
-            assert [c.client.connection for c in consoles] == connections  # nobody was disconnected
-            assert all(len(told) == 1 for c in consoles for told in c.answers.values())
-            decoder, got = Decoder(5), []
-            while len(got) < 3:
-                got += decoder.feed(await asyncio.wait_for(reader.read(4_096), 5))
-            message = next(p for p in got if isinstance(p, Publish))
-            dripped = dict(message.properties["user"])["status"]
-            assert dripped in ("served", "refused")  # a busy machine may leave it no time
+            await asyncio.gather(*load, slow_sender)
+            assert_undisturbed(answers)
+            assert len(answers) > 30
+            assert [
+                console.client.connection for console in consoles
+            ] == connections  # no client was disconnected
+            assert all(len(received) == 1 for console in consoles for received in console.answers.values())
+            decoder, packets = Decoder(5), []
+            while len(packets) < 3:
+                packets += decoder.feed(await asyncio.wait_for(reader.read(4_096), 5))
+            message = next(packet for packet in packets if isinstance(packet, Publish))
+            slow_status = dict(message.properties["user"])["status"]
+            assert slow_status in ("served", "refused")  # on a busy machine its deadline may have passed
             keys = [line for head in calls for line in head.split("\r\n") if line.startswith("swiftwell-key")]
-            # Each effect ran once; one that was refused ran nowhere.
-            assert len(keys) == len(set(keys)) == kinds.count(("served", "ok")) + (dripped == "served")
+            # Each served call ran once, and a refused one never.
+            assert len(keys) == len(set(keys)) == answers.count(("served", "ok")) + (slow_status == "served")
             writer.close()
 
     run(main())
@@ -351,17 +355,17 @@
     async def main():
         async with raw_worker(slow) as worker, running(tmp_path, worker) as (port, successor, processes):
             console = await Console().connect(port)
-            connection, kinds = console.client.connection, []
-            load = asyncio.ensure_future(steady(console, 2.0, kinds))
+            connection, answers = console.client.connection, []
+            load = asyncio.ensure_future(steady(console, 2.0, answers))
             await asyncio.sleep(0.2)
-            process, told = await successor(SWIFTWELL_HANDOVER_FAULT=f"crash:{step}")
-            assert not told and await process.wait() == -signal.SIGKILL
+            process, ready = await successor(SWIFTWELL_HANDOVER_FAULT=f"crash:{step}")
+            assert not ready and await process.wait() == -signal.SIGKILL
             await load
-            calm(kinds)
+            assert_undisturbed(answers)
             assert console.client.connection is connection
             assert processes[0].returncode is None
-            _, told = await successor()  # and the next one takes over
-            assert told["listener"] == port
+            _, ready = await successor()  # the next one takes over
+            assert ready["listener"] == port
             assert await console.call("consigna", "after") == ("served", "ok")
             assert console.client.connection is connection
 
@@ -375,19 +379,23 @@
         folder.mkdir()
         async with raw_worker(slow) as worker, running(folder, worker) as (port, successor, processes):
             console = await Console().connect(port)
-            kinds = []
-            load = asyncio.ensure_future(steady(console, 4.0, kinds))
+            answers = []
+            load = asyncio.ensure_future(steady(console, 4.0, answers))
             await asyncio.sleep(0.2)
             hung = asyncio.ensure_future(successor(SWIFTWELL_HANDOVER_FAULT=f"hang:{step}"))
             await load
-            calm(kinds)
+            assert_undisturbed(answers)
             assert processes[0].returncode is None
-            pid = [int(p) for p in os.listdir("/proc") if p.isdigit() and _is_child(int(p), str(folder))]
-            for one in pid:
-                if one != processes[0].pid:
-                    os.kill(one, signal.SIGKILL)
-            _, told = await hung
-            assert not told
+            pids = [
+                int(pid)
+                for pid in os.listdir("/proc")
+                if pid.isdigit() and _is_successor(int(pid), str(folder))
+            ]
+            for pid in pids:
+                if pid != processes[0].pid:
+                    os.kill(pid, signal.SIGKILL)
+            _, ready = await hung
+            assert not ready
             assert await console.call("consigna", "after") == ("served", "ok")
 
     async def all_steps():
@@ -396,36 +404,39 @@
     run(all_steps())
 
 
-def _is_child(pid, word):
+def _is_successor(pid, folder):
+    """Whether a process is a successor with a site in this folder."""
     try:
         line = Path(f"/proc/{pid}/cmdline").read_text()
     except OSError:
         return False
-    return word in line and "--take-over" in line
+    return folder in line and "--take-over" in line
 
 
-def test_one_that_lies_of_its_version_two_at_once_and_one_with_other_settings(tmp_path):
+def test_a_wrong_protocol_a_second_upgrade_and_other_settings_are_refused(tmp_path):
     async def main():
         async with raw_worker(slow) as worker, running(tmp_path, worker) as (port, successor, _):
             console = await Console().connect(port)
-            process, told = await successor(SWIFTWELL_HANDOVER_FAULT="lie:hello")
-            assert not told and await process.wait() == 3
+            process, ready = await successor(SWIFTWELL_HANDOVER_FAULT="lie:hello")
+            assert not ready and await process.wait() == 3
             first = asyncio.ensure_future(successor(SWIFTWELL_HANDOVER_FAULT="hang:offer"))
             await asyncio.sleep(1.0)
-            process, told = await successor()  # an upgrade during an upgrade
-            assert not told and await process.wait() == 3
+            process, ready = await successor()  # an upgrade during an upgrade
+            assert not ready and await process.wait() == 3
             site = tmp_path / "s.kdl"
             good = site.read_text()
             site.write_text(good.replace('name "gw"', 'name "other"'))
-            process, told = await successor()
-            assert not told and await process.wait() == 3
+            process, ready = await successor()
+            assert not ready and await process.wait() == 3
             site.write_text("nme 1\n")
-            process, told = await successor()
-            assert not told and await process.wait() == 2
+            process, ready = await successor()
+            assert not ready and await process.wait() == 2
             site.write_text(good)
             assert await console.call("consigna", "k") == ("served", "ok")
             for pid in [
-                int(p) for p in os.listdir("/proc") if p.isdigit() and _is_child(int(p), str(tmp_path))
+                int(pid)
+                for pid in os.listdir("/proc")
+                if pid.isdigit() and _is_successor(int(pid), str(tmp_path))
             ]:
                 os.kill(pid, signal.SIGKILL)
             await first
@@ -441,19 +452,17 @@
             assert await console.call("consigna", "k") == ("served", "ok")
             process, _ = await successor(SWIFTWELL_HANDOVER_FAULT="crash:owned")
             assert await process.wait() == -signal.SIGKILL
-            await asyncio.wait_for(processes[0].wait(), 5)  # it gave everything away, and ends
-            (
-                _,
-                told,
-            ) = await successor()  # a supervisor starts it again: nobody runs there, it starts by itself
-            assert told["listener"] == port
+            await asyncio.wait_for(processes[0].wait(), 5)  # it has committed, and exits
+            # A restart by the supervisor: no gateway runs, so it starts normally.
+            _, ready = await successor()
+            assert ready["listener"] == port
             again = await Console("again").connect(port)
             assert await again.call("consigna", "k", user=[("attempt", "1")]) == ("served", "ok")
 
     run(main())
 
 
-def test_the_old_process_killed_before_the_commit_leaves_a_new_one_that_does_not_own(tmp_path):
+def test_a_new_process_does_not_own_after_the_old_one_is_killed_before_the_commit(tmp_path):
     async def main():
         async with raw_worker(slow) as worker, running(tmp_path, worker) as (port, successor, processes):
             console = await Console().connect(port)
@@ -463,20 +472,22 @@
             await asyncio.sleep(1.2)
             processes[0].kill()
             for pid in [
-                int(p) for p in os.listdir("/proc") if p.isdigit() and _is_child(int(p), str(tmp_path))
+                int(pid)
+                for pid in os.listdir("/proc")
+                if pid.isdigit() and _is_successor(int(pid), str(tmp_path))
             ]:
                 os.kill(pid, signal.SIGKILL)
             await first
-            _, told = await successor()
-            assert told["listener"] == port
+            _, ready = await successor()
+            assert ready["listener"] == port
             again = await Console("again").connect(port)
             kind, _ = await again.call("consigna", "k", user=[("attempt", "1")])
-            assert kind in ("served", "failed")  # the recorded answer, or in doubt; never run again
+            assert kind in ("served", "failed")  # the recorded answer, or may have run; never run again
 
     run(main())
 
 
-def test_the_old_process_killed_between_restored_and_commit_leaves_a_new_one_that_does_not_own(tmp_path):
+def test_a_new_process_does_not_own_after_the_old_one_is_killed_between_restored_and_commit(tmp_path):
     async def main():
         fault = {"SWIFTWELL_HANDOVER_FAULT": "crash:old-restored"}
         async with (
@@ -486,11 +497,11 @@
             console = await Console().connect(port)
             console.publish("consigna", "k")
             await asyncio.sleep(0.05)
-            process, told = await successor()
-            assert not told and await process.wait() == 3  # what it holds may be old: it must not own it
+            process, ready = await successor()
+            assert not ready and await process.wait() == 3  # its state may be outdated: it must not take over
             assert await processes[0].wait() == -signal.SIGKILL
-            _, told = await successor()  # the supervisor's next start finds nobody, and reads the ledger
-            again = await Console("again").connect(told["listener"])
+            _, ready = await successor()  # the supervisor's next start finds no gateway, and reads the ledger
+            again = await Console("again").connect(ready["listener"])
             kind, _ = await again.call("consigna", "k", user=[("attempt", "1")])
             assert kind in ("served", "failed")
 
@@ -511,48 +522,48 @@
             running(tmp_path, worker, **fault) as (port, successor, processes),
         ):
             console = await Console().connect(port)
-            connection, kinds = console.client.connection, []
-            load = asyncio.ensure_future(steady(console, 2.5, kinds))
+            connection, answers = console.client.connection, []
+            load = asyncio.ensure_future(steady(console, 2.5, answers))
             await asyncio.sleep(0.3)
-            _, told = await successor()
-            assert told["listener"] == port
+            _, ready = await successor()
+            assert ready["listener"] == port
             assert await processes[0].wait() == -signal.SIGKILL
             await load
-            calm(kinds)
+            assert_undisturbed(answers)
             assert console.client.connection is connection
-            assert len(calls) == kinds.count(("served", "ok"))
+            assert len(calls) == answers.count(("served", "ok"))
 
     run(main())
 
 
-def test_other_listeners_are_opened_before_the_commit_or_the_old_process_carries_on(tmp_path):
+def test_new_listeners_are_opened_before_the_commit_or_the_old_process_carries_on(tmp_path):
     async def main():
         async with raw_worker(slow) as worker, running(tmp_path, worker) as (port, successor, _):
             console = await Console().connect(port)
-            site, taken = tmp_path / "s.kdl", socket.socket()
+            site, occupied = tmp_path / "s.kdl", socket.socket()
             good = site.read_text()
-            taken.bind(("127.0.0.1", 0))
-            taken.listen()
+            occupied.bind(("127.0.0.1", 0))
+            occupied.listen()
             for wrong in (
-                good + f"health port={taken.getsockname()[1]}\n",
-                good.replace(f"port={port}", f"port={taken.getsockname()[1]}"),
+                good + f"health port={occupied.getsockname()[1]}\n",
+                good.replace(f"port={port}", f"port={occupied.getsockname()[1]}"),
             ):
                 site.write_text(wrong)
-                process, told = await successor()
-                assert not told and await process.wait() == 3
+                process, ready = await successor()
+                assert not ready and await process.wait() == 3
                 assert await console.call("consigna", f"k{len(wrong)}") == ("served", "ok")
             assert (tmp_path / "log").read_text().count("a new listener can't be opened") >= 2
-            taken.close()
-            site.write_text(good.replace(f"port={port}", "port=0") + "health port=0\n")  # 0: the one it has
-            _, told = await successor()
-            assert told["listener"] == port and told["health"]
-            moved = socket.socket()
-            moved.bind(("127.0.0.1", 0))
-            other = moved.getsockname()[1]
-            moved.close()
+            occupied.close()
+            site.write_text(good.replace(f"port={port}", "port=0") + "health port=0\n")  # 0: the port it has
+            _, ready = await successor()
+            assert ready["listener"] == port and ready["health"]
+            free = socket.socket()
+            free.bind(("127.0.0.1", 0))
+            other = free.getsockname()[1]
+            free.close()
             site.write_text(good.replace(f"port={port}", f"port={other}"))  # another port, and no health page
-            _, told = await successor()
-            assert (told["listener"], told["health"]) == (other, 0)
+            _, ready = await successor()
+            assert (ready["listener"], ready["health"]) == (other, 0)
             assert await console.call("consigna", "moved") == ("served", "ok")  # its connection moved
             assert await (await Console("new").connect(other)).call("consigna", "n") == ("served", "ok")
             with pytest.raises((OSError, Refused)):
@@ -561,22 +572,22 @@
     run(main())
 
 
-def test_a_slow_ledger_disk_delays_a_handover_or_has_it_refused(tmp_path):
-    """The test plays the new process: the old one is in this process, with a disk as slow as is wanted."""
+def test_a_slow_ledger_disk_delays_a_handover_or_makes_it_fail(tmp_path):
+    """The test acts as the new process; the old one runs in this process, with a delayed ledger commit."""
 
     async def main():
         async with raw_worker(slow) as worker, gateway(tmp_path, [worker]) as old:
             console = await Console().connect(old.listener_port)
-            commit, wait = old.journal._commit, [0.0]
+            commit, delay_s = old.journal._commit, [0.0]
 
-            def late(*args):
-                time.sleep(wait[0])
+            def delayed_commit(*args):
+                time.sleep(delay_s[0])
                 commit(*args)
 
-            old.journal._commit = late
+            old.journal._commit = delayed_commit
 
-            def ask():
-                """The handover up to the state, then gone: the old process carries on."""
+            def request_state():
+                """Run a handover until the state arrives, then close: the old process carries on."""
                 channel = successor.connect(old.site.state)
                 channel.send("hello", 1, protocol=1, least=1, version="x", name="gw")
                 channel.receive(1, "offer")
@@ -588,25 +599,25 @@
                 finally:
                     channel.close()
 
-            for wait[0], number in ((0.2, 1), (1.2, 2)):
-                corr = console.publish("consigna", f"k{number}", timeout=2_900)
+            for delay_s[0], number in ((0.2, 1), (1.2, 2)):
+                correlation = console.publish("consigna", f"k{number}", timeout=2_900)
                 await asyncio.sleep(0.05)
-                told = await asyncio.to_thread(ask)
-                if number == 1:  # given once the intent is on disk, with its call
-                    assert [call.trigger.values["key"] for call in told.calls] == ["k1"]
-                    assert "k1" in {record.key for record in told.ledger}
+                reply = await asyncio.to_thread(request_state)
+                if number == 1:  # sent once the intent is on disk, with its call
+                    assert [call.trigger.values["key"] for call in reply.calls] == ["k1"]
+                    assert "k1" in {record.key for record in reply.ledger}
                 else:
-                    assert "did not become idle in time" in told
-                assert await console.answer(corr) == ("served", "ok")
-                await asyncio.sleep(wait[0] + 0.3)
+                    assert "did not become idle in time" in reply
+                assert await console.answer(correlation) == ("served", "ok")
+                await asyncio.sleep(delay_s[0] + 0.3)
                 assert not old.frozen and not old.resting
-            wait[0] = 0.0
+            delay_s[0] = 0.0
             assert await console.call("consigna", "after") == ("served", "ok")
 
     run(main())
 
 
-def test_the_socket_is_not_left_behind(tmp_path):
+def test_the_socket_is_private_and_removed_at_the_end(tmp_path):
     async def main():
         async with raw_worker(slow) as worker, running(tmp_path, worker) as (_, _, processes):
             path = socket_path(str(tmp_path / "state"))
