--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,5 +1,7 @@
-"""Files and messages in tests/stored were written by an earlier build.  Names inside the process may change;
-whatever is stored or sent must be read, and written again, exactly as that build wrote it."""
+"""Guards every stored or sent form against changes by a renamed identifier.
+
+The files in tests/stored were written by an earlier build.  The present code must read each of them, and
+write it again exactly as that build did."""
 
 import ast
 import asyncio
@@ -53,7 +55,7 @@
 
 
 def outer(value):
-    """A value by what leaves the process: settings classes by the document's names, others by position."""
+    """A value without its inner names: settings by the keys of the document, others by position."""
     if isinstance(value, type) or value is None or isinstance(value, bool | int | float | str):
         return value
     if isinstance(value, bytes):
@@ -61,9 +63,9 @@
     if isinstance(value, dict):
         return [[outer(key), outer(inner)] for key, inner in value.items()]
     if dataclasses.is_dataclass(value) and (named := list(schema.fields_of(type(value)))):
-        return {one.name: outer(getattr(value, one.python)) for one in named}
+        return {field.name: outer(getattr(value, field.python)) for field in named}
     if dataclasses.is_dataclass(value):
-        return [outer(getattr(value, one.name)) for one in dataclasses.fields(value)]
+        return [outer(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if hasattr(value, "value"):
         return value.value
     return [outer(inner) for inner in value]
@@ -78,50 +80,51 @@
     return router
 
 
-def test_a_stored_snapshot_is_restored_and_taken_again_with_every_field():
+def test_a_stored_snapshot_is_restored_and_captured_again_with_every_field():
     raw = stored("router.msgpack")
     router = restored_router(io.Settings(()), raw)
     assert plain(msgspec.msgpack.encode(snapshot.capture(router))) == plain(raw)
 
 
-def test_every_stored_timer_is_set_again_with_its_act_subject_and_time():
+def test_every_stored_timer_is_set_again_with_its_action_subject_and_time():
     raw = stored("router.msgpack")
     router = restored_router(io.Settings(()), raw)
     timers = plain(raw)["timers"]
-    assert {one["act"] for one in timers} == {
+    assert {timer["act"] for timer in timers} == {
         "_sweep", "_watch", "_finish", "_half", "_late", "_load_failed", "look",
     }  # fmt: skip
     assert {token: due for token, (_, _, due) in router._timers.items()} == {
-        one["token"]: one["due"] for one in timers
+        timer["token"]: timer["due"] for timer in timers
     }
-    acts = {}
-    for one in timers:
-        act, args, _ = router._timers[one["token"]]
-        acts.setdefault(one["act"], set()).add(getattr(act, "__func__", act))
-        if one["act"] in ("_finish", "_half"):
-            assert args == (router.calls[one["about"][0]],)
-        elif one["act"] == "_late":
-            call, number = one["about"]
+    methods = {}
+    for timer in timers:
+        method, args, _ = router._timers[timer["token"]]
+        methods.setdefault(timer["act"], set()).add(getattr(method, "__func__", method))
+        if timer["act"] in ("_finish", "_half"):
+            assert args == (router.calls[timer["about"][0]],)
+        elif timer["act"] == "_late":
+            call, number = timer["about"]
             assert args == (router.calls[call].attempts[number],)
-        elif one["act"] == "_load_failed":
-            worker, function = (router.workers[one["about"][0]], router.functions[one["about"][1]])
+        elif timer["act"] == "_load_failed":
+            worker, function = (router.workers[timer["about"][0]], router.functions[timer["about"][1]])
             assert args[:2] == (worker, function) and args[2] is not None
         else:
             assert args == ()
-    assert all(len(one) == 1 for one in acts.values())  # one function for each stored name, and no two alike
+    # Each stored name has one method, and no two names share one.
+    assert all(len(alike) == 1 for alike in methods.values())
     assert len(set.union(*acts.values())) == len(acts)
 
 
-def decided(raw, step_us):
-    """What a router restored from a snapshot decides, as plain values."""
-    router, snapshot_ = restored_router(ORDERS, raw), plain(raw)
+def decisions(raw, step_us):
+    """The actions of a router restored from a snapshot, as plain values."""
+    router, values = restored_router(ORDERS, raw), plain(raw)
     unanswered = [
         (call["request"]["id"], number, attempt["worker"])
-        for call in snapshot_["calls"]
+        for call in values["calls"]
         for number, attempt in enumerate(call["attempts"])
         if attempt["out"]
     ]
-    now, steps = snapshot_["now"], []
+    now, steps = values["now"], []
     for number in range(30):
         now += step_us
         due = sorted(token for token, (_, _, at) in router._timers.items() if at <= now)
@@ -134,12 +137,12 @@
 
 
 def test_a_router_restored_from_a_stored_snapshot_decides_as_the_earlier_build_did():
-    """Two stored fields that changed places would come through the comparison of fields."""
-    told = stored_json("router_actions.json")
-    assert decided(stored("router.msgpack"), told["step_us"]) == told["actions"]
+    """The comparison of fields would not notice two stored fields that changed places."""
+    expected = stored_json("router_actions.json")
+    assert decisions(stored("router.msgpack"), expected["step_us"]) == expected["actions"]
 
 
-def test_a_stored_file_of_books_is_read_and_written_the_same():
+def test_a_stored_snapshot_file_is_read_and_written_the_same():
     raw = stored("books")
     saved_snapshot = snapshot_file.decode(raw)
     assert snapshot_file.encode(saved_snapshot) == raw
@@ -155,7 +158,7 @@
 
 
 def without_descriptors(value):
-    """A state without the numbers of its descriptors, of which only whether there is one is compared."""
+    """A state in which each index of a descriptor is replaced by whether there is one."""
     if isinstance(value, dict):
         return {
             name: inner >= 0 if name in ("fd", "lock", "ledger_lock") else without_descriptors(inner)
@@ -164,12 +167,12 @@
     return [without_descriptors(inner) for inner in value] if isinstance(value, list) else value
 
 
-async def taken_again(raw, folder):
-    """The state of a gateway that took a stored state over, before it did anything with it."""
+async def captured_again(raw, folder):
+    """Restore a stored state in a gateway, and capture it before the gateway does anything with it."""
     read = state.decode(raw)
     document = stored("gateway.kdl").decode().replace("{state}", str(folder))
     gateway = Gateway(site.read(document, "gateway.kdl"), Logs("json", "debug", 1_000, text.StringIO()))
-    listening = {one["fd"] for one in plain(raw)["listeners"]}
+    listening = {listener["fd"] for listener in plain(raw)["listeners"]}
     fds, peers = [], []
     for number in range(20):
         if number in listening:
@@ -188,25 +191,25 @@
     gateway.link.hold(True)
     state.activate(gateway)
     await asyncio.sleep(0)  # adopted connections begin to read
-    again, _ = state.capture(gateway)
+    captured, _ = state.capture(gateway)
     try:
-        return state.encode(again)
+        return state.encode(captured)
     finally:
         gateway.link.close()
         gateway.endpoint.close()
         gateway.journal.close()
         with suppress(OSError):
             os.close(gateway._lock)
-        for one in peers:
-            one.close()
+        for peer in peers:
+            peer.close()
         await asyncio.sleep(0.05)
 
 
 def test_a_stored_state_of_a_real_gateway_is_taken_over_whole(tmp_path):
     raw = stored("gateway.msgpack")
-    again, before = plain(asyncio.run(taken_again(raw, tmp_path))), plain(raw)
-    for one in (again, before):
-        for listener in one["listeners"]:
+    again, before = plain(asyncio.run(captured_again(raw, tmp_path))), plain(raw)
+    for values in (again, before):
+        for listener in values["listeners"]:
             listener["port"] = 0
     assert without_descriptors(again) == without_descriptors(before)
     kinds = {job["kind"] for job in before["jobs"]}
@@ -234,7 +237,7 @@
     raw = stored("ledger.log")
     records = [record for _, _, record in journal.scan(raw)]
     assert b"".join(map(journal.encode, records)) == raw
-    assert [plain(msgspec.msgpack.encode(one)) for one in records] == [
+    assert [plain(msgspec.msgpack.encode(record)) for record in records] == [
         ["intent", "t", "k1", 1_001, b"p1", b"", "", 900],
         ["done", "t", "k2", 1_002, b"p2", b"answer", "w1", 901],
         ["doubt", "u", "k3", 1_003, b"p3", b"", "", 902],
@@ -282,7 +285,7 @@
 
 def test_the_stored_datagrams_hold_every_type_of_message():
     read = [plain(bytes.fromhex(raw)[:-8]) for raw in stored_json("datagrams.json")]
-    assert [one[3][0][0] for one in read] == [
+    assert [message[3][0][0] for message in read] == [
         1, 2, 3, 4, 10, 11, 12, 13, 14, 15, 20, 21, 22, 30, 31, 32, 40,
     ]  # fmt: skip
 
@@ -308,7 +311,7 @@
 
 
 def over_mqtt():
-    """Triggers read from messages of both versions, and the messages that answer them."""
+    """Triggers read from messages of MQTT 3.1.1 and 5, and the messages that answer them."""
     settings = site.read(stored("site.kdl").decode(), "site.kdl")
     reader = contract.Contract("calls", {"lectura": 2_500.0}, settings.hint, True)
     values = stored_json("envelope.json")
@@ -316,7 +319,11 @@
     user = [(name.replace("_", "-"), str(values[name])) for name in names] + [("key", "k")]
     properties = {"user": user, "response_topic": "r/t", "correlation_data": b"c"}
     found = []
-    for name in ("timeout-ms", "deadline-ms", "sent-ms"):  # each alone: together the least time counts
+    for name in (
+        "timeout-ms",
+        "deadline-ms",
+        "sent-ms",
+    ):  # each alone, as of several the shortest time applies
         message = codec.Publish("calls/t/lectura/f", b"", 1, properties={"user": [(name, "1500")]})
         trigger = reader.read(message, "mqtt:c1", reader.ref(message, 5, None, "c1"), 1_000.0)
         found.append([name, trigger.left_us])
@@ -325,7 +332,9 @@
         ref = reader.ref(message, version, None, "c1")
         trigger = reader.read(message, "mqtt:c1", ref, 1_000.0)
         fields = [
-            outer(getattr(trigger, one.name)) for one in dataclasses.fields(trigger) if one.name != "ref"
+            outer(getattr(trigger, field.name))
+            for field in dataclasses.fields(trigger)
+            if field.name != "ref"
         ]
         for kind, reason in (
             (Kind.SERVED, "ok"),
@@ -345,18 +354,20 @@
 
 
 def keys(kind, path=""):
-    """Every key of a document with its type, bounds and default: all of `check --fields` but its texts."""
-    for one in schema.fields_of(kind):
-        name, meta = f"{path}/{one.name}", one.meta
+    """Every key of a document with its type, bounds and default: `check --fields` without its texts."""
+    for setting in schema.fields_of(kind):
+        name, meta = f"{path}/{setting.name}", setting.meta
         bounds = f"{meta['low']}..{meta['high']} {'|'.join(meta['choice'])} most={meta['many']}"
-        how = " ".join(["argument"] * meta["arg"] + ["repeated"] * one.repeated + ["required"] * one.required)
-        if one.block:
+        how = " ".join(
+            ["argument"] * meta["arg"] + ["repeated"] * setting.repeated + ["required"] * setting.required
+        )
+        if setting.block:
             yield f"{name}: block {how} {bounds}"
-            yield from keys(one.block, name)
+            yield from keys(setting.block, name)
             continue
-        default = next(field.default for field in dataclasses.fields(kind) if field.name == one.python)
+        default = next(field.default for field in dataclasses.fields(kind) if field.name == setting.python)
         shown = "none" if default is dataclasses.MISSING else repr(default)
-        yield f"{name}: {one.type.__name__} {how} {bounds} default={shown}"
+        yield f"{name}: {setting.type.__name__} {how} {bounds} default={shown}"
 
 
 @pytest.mark.parametrize("kind, name", [(site.Site, "site_keys.txt"), (days.Day, "day_keys.txt")])
@@ -386,15 +397,15 @@
 
 
 def trace_events():
-    """Events and key names that the sources of the tools write to traces, and how often."""
+    """Each event with its keys that the sources write to traces, with the number of places that write it."""
     names, written = {trace.Trace.note.__name__, "note"}, Counter()
     for path in sorted(
-        one for folder in ("standins", "lab", "proof") for one in (SOURCES / folder).glob("*.py")
+        file for folder in ("standins", "lab", "proof") for file in (SOURCES / folder).glob("*.py")
     ):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call) and getattr(node.func, "attr", "") in names and node.args:
                 event = node.args[0].value if isinstance(node.args[0], ast.Constant) else "*"
-                written[" ".join([event, *sorted(one.arg or "**" for one in node.keywords)])] += 1
+                written[" ".join([event, *sorted(keyword.arg or "**" for keyword in node.keywords)])] += 1
     return dict(sorted(written.items()))
 
 
@@ -413,14 +424,14 @@
 
 
 def judged(folder):
-    """All that the checker and the verdict make of the traces in a folder."""
+    """All results of the checker and the verdict for the traces in a folder."""
     events = trace.read(folder)
     limits = rules.Limits(500_000, 1.0, 0.1, 1_000_000, {"consigna": "unsafe", "lectura": "safe"}, 400_000)
     findings = rules.check(events, limits)
     result = verdict.verdict("stored", 1, 12.0, events, findings)
     result["breaches"] = [
         line.partition(":")[0] for line in result["breaches"]
-    ]  # texts for people may change
+    ]  # only the rule: the texts may change
     return {
         "verdict": result,
         "starting": verdict.starting(events),
