--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -112,7 +112,7 @@
             assert args == ()
     # Each stored name has one method, and no two names share one.
     assert all(len(alike) == 1 for alike in methods.values())
-    assert len(set.union(*acts.values())) == len(acts)
+    assert len(set.union(*methods.values())) == len(methods)
 
 
 def decisions(raw, step_us):
@@ -319,11 +319,8 @@
     user = [(name.replace("_", "-"), str(values[name])) for name in names] + [("key", "k")]
     properties = {"user": user, "response_topic": "r/t", "correlation_data": b"c"}
     found = []
-    for name in (
-        "timeout-ms",
-        "deadline-ms",
-        "sent-ms",
-    ):  # each alone, as of several the shortest time applies
+    # Each alone: of several the shortest time applies.
+    for name in ("timeout-ms", "deadline-ms", "sent-ms"):
         message = codec.Publish("calls/t/lectura/f", b"", 1, properties={"user": [(name, "1500")]})
         trigger = reader.read(message, "mqtt:c1", reader.ref(message, 5, None, "c1"), 1_000.0)
         found.append([name, trigger.left_us])
@@ -429,9 +426,8 @@
     limits = rules.Limits(500_000, 1.0, 0.1, 1_000_000, {"consigna": "unsafe", "lectura": "safe"}, 400_000)
     findings = rules.check(events, limits)
     result = verdict.verdict("stored", 1, 12.0, events, findings)
-    result["breaches"] = [
-        line.partition(":")[0] for line in result["breaches"]
-    ]  # only the rule: the texts may change
+    # Only the rule of each, as the texts may change.
+    result["breaches"] = [line.partition(":")[0] for line in result["breaches"]]
     return {
         "verdict": result,
         "starting": verdict.starting(events),
