--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -155,7 +155,7 @@
 
 
 class JobState(
-    msgspec.Struct, rename={"partial_response": "raw", "started_at": "began", "deadline": "until"}
+    msgspec.Struct, rename={"partial_response": "raw", "started_s": "began", "deadline_s": "until"}
 ):
     """An exchange with a worker in progress.
 
@@ -171,8 +171,8 @@
     data: bytes = b""
     unsent: bytes = b""
     partial_response: bytes = b""
-    started_at: float = 0.0
-    deadline: float = 0.0  # of orders and queries, monotonic s
+    started_s: float = 0.0  # monotonic
+    deadline_s: float = 0.0  # of orders and queries, monotonic
     streamed: bool = False
 
 
@@ -253,7 +253,7 @@
         "gap_until": "holes_until",
         "closed_reason": "shut_why",
         "last_number": "numbers",
-        "write_count": "writes",
+        "last_write": "writes",
     },
 ):
     """The state of a gateway; descriptors are indexes into the list that goes with it."""
@@ -268,7 +268,7 @@
     closed_reason: str = ""
     segment: int = 0
     last_number: int = 0
-    write_count: int = 0
+    last_write: int = 0
     counts: dict[str, int] = {}
     orders: list[tuple[int, str, str, int, int]] = []  # number, worker, function, sent, due
     peers: list[PeerState] = []
@@ -421,7 +421,7 @@
         (tenant, key, entry.call) for (tenant, key), entry in ledger._entries.items() if entry.call
     ]
     state.gap_until, state.closed_reason = ledger.gap_until, ledger.closed_reason
-    state.last_number, state.write_count, state.counts = engine._numbers, engine._writes, dict(engine.counts)
+    state.last_number, state.last_write, state.counts = engine._numbers, engine._writes, dict(engine.counts)
     # A gateway that hands over sends no queries: each of its orders is for copies.
     state.orders = [
         (number, order.worker, order.function, order.sent_us, order.due_us)
@@ -599,7 +599,7 @@
 
 
 def _capture_job(job: _Job, add_fd: Any, kind: str, **identity: Any) -> JobState:
-    state = JobState(kind, job.worker, data=job.data, started_at=job.began, deadline=job.until, **identity)
+    state = JobState(kind, job.worker, data=job.data, started_s=job.began, deadline_s=job.until, **identity)
     state.streamed = job.first is not None
     connection = job.connection
     if connection and job.written and not connection.stream.closed():
@@ -628,7 +628,7 @@
     for tenant, key, call_id in state.running:
         ledger.reclaim(tenant, key, call_id)
     ledger.gap_until, ledger.closed_reason = state.gap_until, state.closed_reason
-    engine._numbers, engine._writes = state.last_number, state.write_count
+    engine._numbers, engine._writes = state.last_number, state.last_write
     engine.counts.update(state.counts)
     for known in state.roster.known:
         raw = dict(known.pop("entry"))
@@ -835,7 +835,7 @@
     if state.lock >= 0:
         gateway._lock = os.dup(fds[state.lock])
     if gateway.journal and state.ledger_lock >= 0:
-        gateway.journal.adopt(os.dup(fds[state.ledger_lock]), state.segment, state.write_count)
+        gateway.journal.adopt(os.dup(fds[state.ledger_lock]), state.segment, state.last_write)
     bounds = gateway.site.listener
     for peer in state.peers:
         if peer.connection is None:
@@ -881,8 +881,8 @@
         state.id,
         state.number,
         state.data,
-        state.started_at,
-        state.deadline,
+        state.started_s,
+        state.deadline_s,
         state.streamed,
     )
     if state.fd < 0:
