--- a/swiftwell/discovery/sources.py
+++ b/swiftwell/discovery/sources.py
@@ -98,10 +98,10 @@
             try:
                 await self.run_session()
             except (Unreachable, SettingsError) as error:
-                self._backoff.ended(time.monotonic() - began)
+                self._backoff.connection_ended(time.monotonic() - began)
                 if not self.last_response_s and self._server_index % len(self._servers) == 0:
                     await self._query_peers()
-                delay_s = self._backoff.wait_s()
+                delay_s = self._backoff.next_delay_s()
                 self.log_failure(error, delay_s)
                 await asyncio.sleep(delay_s)
 
@@ -133,7 +133,9 @@
             client = Client(host, port, 0.5)
             try:
                 target = f"/v1/health/service/{self._service}"
-                response = await client.ask(Request("GET", target, {"swiftwell-gateway": self._gateway}), 1.0)
+                response = await client.fetch(
+                    Request("GET", target, {"swiftwell-gateway": self._gateway}), 1.0
+                )
                 age_ms = response.headers.get("x-swiftwell-age-ms", "")
                 if response.status != 200 or not age_ms.isdigit():
                     continue
@@ -148,7 +150,7 @@
     async def _poll(self, client: Client) -> None:
         target = f"/v1/health/service/{self._service}?index={self.index}&wait={self._wait_s}s"
         request = Request("GET", target, {"swiftwell-gateway": self._gateway})
-        response = await client.ask(request, self._wait_s + RESPONSE_MARGIN_S)
+        response = await client.fetch(request, self._wait_s + RESPONSE_MARGIN_S)
         if response.status != 200:
             raise Unreachable(f"status {response.status}")
         entries, problems = parse_instances(response.body, self._to_monotonic_us)
--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -369,7 +369,7 @@
     gateway.resting = _streams(gateway)
     for stream in gateway.resting:
         _pause_stream(stream)
-    gateway.link.hold(True)
+    gateway.link.set_paused(True)
     _set_maintenance(gateway, False)
     deadline = time.monotonic() + timeout_s
     # Inputs that had been read already are handled; the ledger writes what they caused.
@@ -393,7 +393,7 @@
     gateway.resting = []
     for _, server in _servers(gateway):
         server.add_sockets(list(server._sockets.values()))
-    gateway.link.hold(False)
+    gateway.link.set_paused(False)
     _set_maintenance(gateway, True)
     gateway.resume()
 
@@ -447,7 +447,7 @@
     state.amqp = [_capture_amqp(link, add_fd) for link in gateway.amqp]
     for key, job in gateway.link._jobs.items():
         state.jobs.append(_capture_job(job, add_fd, "run", id=key[0], number=key[1]))
-    for job, (kind, number) in gateway.link.others.items():
+    for job, (kind, number) in gateway.link.timed_jobs.items():
         state.jobs.append(_capture_job(job, add_fd, kind, number=number))
     for known in engine.roster.known.values():
         values = {field.name: getattr(known, field.name) for field in fields(Known) if field.name != "entry"}
@@ -599,14 +599,16 @@
 
 
 def _capture_job(job: _Job, add_fd: Any, kind: str, **identity: Any) -> JobState:
-    state = JobState(kind, job.worker, data=job.data, started_s=job.began, deadline_s=job.until, **identity)
-    state.streamed = job.first is not None
+    state = JobState(
+        kind, job.worker, data=job.data, started_s=job.started_s, deadline_s=job.deadline_s, **identity
+    )
+    state.streamed = job.on_first_byte is not None
     connection = job.connection
     if connection and job.written and not connection.stream.closed():
         state.fd, state.unsent, state.partial_response = (
             add_fd(connection.stream.socket.fileno()),
             _unsent(connection.stream),
-            bytes(connection.raw),
+            bytes(connection.received),
         )
     return state
 
@@ -875,7 +877,7 @@
 
 def _resume_job(gateway: Gateway, state: JobState, fds: list[int]) -> None:
     link = gateway.link
-    job = link.job_again(
+    job = link.restore_job(
         state.kind,
         state.worker,
         state.id,
@@ -886,10 +888,10 @@
         state.streamed,
     )
     if state.fd < 0:
-        link._begin(job)
+        link._dispatch(job)
         return
     sock = socket.socket(fileno=os.dup(fds[state.fd]))
     sock.setblocking(False)
     connection = WorkerConnection(link, state.worker, IOStream(sock), link._bounds.answer)
     link._workers.setdefault(state.worker, _Worker()).open += 1
-    link.carry_on(job, connection, state.unsent, state.partial_response)
+    link.resume_job(job, connection, state.unsent, state.partial_response)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -340,7 +340,7 @@
         play.wait(200_000, 20_000)
         play.do(ports.Listed(full(entry("a"), entry("b"), entry("c"))))
         play.wait(200_000, 20_000)
-        if not play.engine.router.workers[start.worker].believed("f", play.now):
+        if not play.engine.router.workers[start.worker].estimated_copies("f", play.now):
             break  # expired by its idle time, not by the list
     assert play.now - 100_000_000 >= SETTINGS.idle_life_us
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -47,7 +47,7 @@
                 assert (status, answer) == (200, b"did " + body)
             assert [arguments[1].decode() for arguments in worker.runs()] == [id_(1), id_(2)]
             assert [arguments[3] for arguments in worker.runs()] == [b"", bytes(range(256)) * 64]
-            assert node.engine.ledger is None and not node.front.ids
+            assert node.engine.ledger is None and not node.front.open_ids
 
     run(main())
 
@@ -145,7 +145,7 @@
             front.writer.write(codec.record(codec.ABORT, 1, b""))
             assert (await front.answer(1))[0] == 0  # END_REQUEST and no content
             assert (await front.ask(1, fields(id_(2)), b"x"))[0] == 200
-            assert node.engine.counts["left"] == 1 and not node.front.ids
+            assert node.engine.counts["left"] == 1 and not node.front.open_ids
 
     run(main())
 
@@ -254,13 +254,13 @@
                 front.done.clear()
             await until(lambda: node.engine.open == 0)
             sizes = node.link.sizes()
-            assert sizes["worker_jobs"] == 0 and not node.front.ids and not node.engine._calls_by_source
+            assert sizes["worker_jobs"] == 0 and not node.front.open_ids and not node.engine._calls_by_source
 
     run(main())
 
 
 def test_a_client_that_does_not_read_is_closed_and_leaves_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(fc, "MOST_UNSENT", 20_000)
+    monkeypatch.setattr(fc, "MAX_UNSENT_BYTES", 20_000)
 
     async def main():
         async def large(worker, writer, arguments):
--- a/tests/test_start_and_reload.py
+++ b/tests/test_start_and_reload.py
@@ -5,7 +5,7 @@
 
 from platformbench import HOST, Worker, document, echo, router, until
 from socketbench import run
-from test_endings import Following
+from test_endings import RunningClient
 from test_platform import RouterProcess
 
 
@@ -24,7 +24,7 @@
     """SIGHUP in the same loop turn as the end of a shutdown left the client and its process running."""
 
     async def main():
-        async with Following(9, lambda event: None) as following:  # nothing listens there
+        async with RunningClient(9, lambda event: None) as following:  # nothing listens there
             await until(lambda: following.client._failures > 3)
             await until(lambda: following.client._stream is None)
             following.client.reconnect((HOST, 8))
