--- a/swiftwell/handover/state.py
+++ b/swiftwell/handover/state.py
@@ -366,8 +366,8 @@
     for _, server in _servers(gateway):
         for fd in list(server._handlers):
             server._handlers.pop(fd)()
-    gateway.resting = _streams(gateway)
-    for stream in gateway.resting:
+    gateway.paused_streams = _streams(gateway)
+    for stream in gateway.paused_streams:
         _pause_stream(stream)
     gateway.link.set_paused(True)
     _set_maintenance(gateway, False)
@@ -376,7 +376,7 @@
     while True:
         for _ in range(3):
             await asyncio.sleep(0)
-        idle = not gateway._inputs and not gateway._stepping and not gateway.engine.awaiting
+        idle = not gateway._inputs and not gateway._stepping and not gateway.engine.pending_intents
         if idle and not (gateway.journal and gateway.journal.busy):
             break
         if time.monotonic() > deadline:
@@ -388,9 +388,9 @@
 def thaw(gateway: Gateway) -> None:
     """Resume a gateway that `freeze` stopped."""
     gateway.frozen = False
-    for stream in gateway.resting:
+    for stream in gateway.paused_streams:
         _resume_stream(stream)
-    gateway.resting = []
+    gateway.paused_streams = []
     for _, server in _servers(gateway):
         server.add_sockets(list(server._sockets.values()))
     gateway.link.set_paused(False)
@@ -421,7 +421,11 @@
         (tenant, key, entry.call) for (tenant, key), entry in ledger._entries.items() if entry.call
     ]
     state.gap_until, state.closed_reason = ledger.gap_until, ledger.closed_reason
-    state.last_number, state.last_write, state.counts = engine._numbers, engine._writes, dict(engine.counts)
+    state.last_number, state.last_write, state.counts = (
+        engine._last_number,
+        engine._last_write,
+        dict(engine.counts),
+    )
     # A gateway that hands over sends no queries: each of its orders is for copies.
     state.orders = [
         (number, order.worker, order.function, order.sent_us, order.due_us)
@@ -630,7 +634,7 @@
     for tenant, key, call_id in state.running:
         ledger.reclaim(tenant, key, call_id)
     ledger.gap_until, ledger.closed_reason = state.gap_until, state.closed_reason
-    engine._numbers, engine._writes = state.last_number, state.last_write
+    engine._last_number, engine._last_write = state.last_number, state.last_write
     engine.counts.update(state.counts)
     for known in state.roster.known:
         raw = dict(known.pop("entry"))
@@ -770,7 +774,7 @@
         )
         amqp_ref.also = [_restore_ref(delivery, peers, gateway) for delivery in state.later_deliveries]  # type: ignore[misc]
         return amqp_ref
-    peer = peers.get((state.kind, state.name)) or gateway.nobody()
+    peer = peers.get((state.kind, state.name)) or gateway.discarding_peer()
     ref = Ref(
         state.version,
         (peer, state.generation),
--- a/swiftwell/handover/successor.py
+++ b/swiftwell/handover/successor.py
@@ -59,7 +59,7 @@
     if "listeners" in offer:
         try:
             # Opened while the old process still serves: after the commit an error would leave nobody serving.
-            gateway.open_new([(name, address, port) for name, address, port in offer["listeners"]])
+            gateway.open_new_listeners([(name, address, port) for name, address, port in offer["listeners"]])
         except (OSError, ValueError, TypeError) as error:
             raise HandoverError(f"a new listener can't be opened: {error}") from error
     channel.send("prepared", HELLO_TIMEOUT_S)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 
 import msgspec
 import pytest
-from enginebench import SETTINGS, Play, only
+from enginebench import SETTINGS, EngineHarness, of_type
 from helpers import ORDERS
 from socketbench import SITE, Console, gateway, http, raw_worker, run
 
@@ -36,7 +36,7 @@
 def busy(seed, settings=LOADS):
     """An engine in the middle of its work."""
     random_ = random.Random(seed)
-    play = Play(settings, workers=[f"w{n}" for n in range(6)])
+    play = EngineHarness(settings, workers=[f"w{n}" for n in range(6)])
     for number in range(120):
         request_class = random_.choice(["safe", "keyed", "unsafe"])
         play.call(
@@ -45,17 +45,17 @@
             function=f"f{random_.randrange(9)}",
             left=random_.randrange(300_000, 3_000_000),
         )
-        play.wait(random_.randrange(0, 30_000), 5_000)
-        for start in only(play.out, ports.Start):
+        play.advance(random_.randrange(0, 30_000), 5_000)
+        for start in of_type(play.outputs, ports.Start):
             if random_.random() < 0.5:
                 status = random_.choice(
                     [io.Status.OK] * 6 + [io.Status.FULL, io.Status.RESET, io.Status.CONNECT_FAILED]
                 )
-                play.end(start, status)
-        for order in only(play.out, ports.Order):
+                play.end_attempt(start, status)
+        for order in of_type(play.outputs, ports.Order):
             if random_.random() < 0.6:
-                play.do(ports.OrderEnd(order.number, io.Status.OK, 1))
-        play.out.clear()
+                play.step(ports.OrderEnd(order.number, io.Status.OK, 1))
+        play.outputs.clear()
     return play
 
 
@@ -140,7 +140,7 @@
     file.close()
     usable = file.load(old.now + 1_000_000, new_clock.anchor_us)
     assert {worker.started_us for worker in usable.workers} == {new_clock.started_us(wall_ms)}
-    play = Play(LOADS, workers=None)
+    play = EngineHarness(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
     play.engine.restore_router_state(usable)
@@ -148,10 +148,10 @@
     workers = old.engine.router.workers.values()
     # First a saved list, whose starts were converted by another anchor, then the live list.
     saved = tuple((replace(worker.entry, started_us=start + 9), 1_000_000) for worker in workers)
-    play.do(ports.Saved(saved))
+    play.step(ports.Saved(saved))
     live = tuple(replace(worker.entry, started_us=start) for worker in workers)
-    play.do(ports.Listed(io.Members(io.ListKind.FULL, live)))
-    play.wait(1_100_000, 10_000)
+    play.step(ports.Listed(io.Members(io.ListKind.FULL, live)))
+    play.advance(1_100_000, 10_000)
     warm = [worker for worker in play.engine.router.workers.values() if worker.copies]
     assert len(warm) == sum(bool(worker.copies) for worker in usable.workers) > 0
 
@@ -159,14 +159,14 @@
 def test_a_start_with_a_saved_snapshot_uses_no_worker_before_a_list_names_it():
     old = busy(2)
     warm = {worker.worker: set(worker.copies) for worker in snapshot.capture(old.engine.router).workers}
-    play = Play(LOADS, workers=None)
+    play = EngineHarness(LOADS, workers=None)
     play.now = old.now + 1_000_000
     play.engine.start_at(play.now, play.wall)
     play.engine.restore_router_state(crash.usable_part(snapshot.capture(old.engine.router), 1_000_000, True))
-    assert not only(play.call(function="f1"), ports.Start)
+    assert not of_type(play.call(function="f1"), ports.Start)
     entries = tuple(worker.entry for worker in old.engine.router.workers.values())[:4]
-    play.do(ports.Listed(io.Members(io.ListKind.FULL, entries)))
-    play.wait(1_100_000, 10_000)
+    play.step(ports.Listed(io.Members(io.ListKind.FULL, entries)))
+    play.advance(1_100_000, 10_000)
     assert set(play.engine.router.workers) == {entry.worker for entry in entries}
     with_copies = [entry for entry in entries if play.engine.router.workers[entry.worker].copies]
     assert with_copies and all(
@@ -610,7 +610,7 @@
                     assert "did not become idle in time" in reply
                 assert await console.answer(correlation) == ("served", "ok")
                 await asyncio.sleep(delay_s[0] + 0.3)
-                assert not old.frozen and not old.resting
+                assert not old.frozen and not old.paused_streams
             delay_s[0] = 0.0
             assert await console.call("consigna", "after") == ("served", "ok")
 
