--- a/swiftwell/gateway/engine.py
+++ b/swiftwell/gateway/engine.py
@@ -852,9 +852,9 @@
         """Set the time before calls are restored and before the first `step`."""
         self._timer_wheel, self._now_us, self._wall_us = TimerWheel(now_us), now_us, wall_us
 
-    def restore_router_state(self, state: snapshot.RouterBooks) -> None:
+    def restore_router_state(self, state: snapshot.RouterSnapshot) -> None:
         """Start with what is still valid of the router state of a process that was killed."""
-        snapshot.put(self.router, state)
+        snapshot.restore(self.router, state)
         self.router.seq = 0  # so that the first `handle` sets the first timers
         self._unconfirmed_workers = set(self.router.workers)
 
--- a/swiftwell/gateway/shell.py
+++ b/swiftwell/gateway/shell.py
@@ -45,7 +45,7 @@
 from swiftwell.gateway.journal import Journal
 from swiftwell.gateway.logs import Logs
 from swiftwell.handover import snapshot
-from swiftwell.handover.books import Books
+from swiftwell.handover.snapshot_file import SnapshotFile
 from swiftwell.http.http1 import Request, Response
 from swiftwell.http.server import Server
 from swiftwell.settings.site import Site, host_port
@@ -107,7 +107,7 @@
         self.keeper: SavedListStore | None = None
         self._list_service: sources.ListServiceClient | None = None
         self._lock = -1
-        self.books = Books(Path(site.state), self.log, self._loop.add_callback)
+        self.books = SnapshotFile(Path(site.state), self.log, self._loop.add_callback)
         self.paused_streams: list[IOStream] = []  # during a handover
         self.adopted: Any = None  # state and descriptors taken over, until `take_over`
         self._early_sockets: dict[str, list[socket.socket]] = {}  # listening, but not accepting yet
@@ -189,7 +189,7 @@
 
     def _start_tasks(self, fresh: bool) -> None:
         """Start to follow the worker list, connect to brokers, sweep, and offer a handover."""
-        from swiftwell.handover.old import Offer
+        from swiftwell.handover.predecessor import HandoverServer
 
         self._follow_list(fresh)
         for link in (*self.subscribers, *self.amqp):
@@ -197,7 +197,7 @@
         if self.site.fleet:
             self._tasks.append(asyncio.ensure_future(self._join_fleet()))
         self._sweeper.start()
-        self._handover_offer = Offer(self)
+        self._handover_offer = HandoverServer(self)
         self._handover_offer.open()
         self._tasks.append(asyncio.ensure_future(self._handover_offer.run()))
 
@@ -548,9 +548,9 @@
     def _sweep(self) -> None:
         self.link.sweep()
         self.logs.sweep()
-        self.books.look(
+        self.books.write_if_due(
             self.clock.now_us(),
-            lambda: snapshot.take(self.engine.router, calls=False),
+            lambda: snapshot.capture(self.engine.router, calls=False),
             self.clock.anchor_us,
         )
         if self.keeper and self._list_service:
