--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -120,7 +120,7 @@
 )  # fmt: skip
 def test_a_near_miss_is_no_breach(given):
     found = check(events(*given), LIMITS)
-    assert not any(found.broken.values()), found.told
+    assert not any(found.broken.values()), found.breaches
 
 
 def test_the_verdict_counts_calls_and_worth_once():
@@ -209,7 +209,7 @@
 
 def test_what_one_gateway_was_told_counts_for_those_it_is_passed_on_to():
     """A follower is never told by the list itself: rule 3 would judge the reader alone."""
-    limits = replace(LIMITS, passed_on_us=2_000_000)
+    limits = replace(LIMITS, propagation_us=2_000_000)
     seen = [{"ev": "ready", "gw": "other", "port": 2, "t": 5}, told(10, "draining")]
 
     def broken(at, *more):
