--- a/swiftwell/proof/holders.py
+++ b/swiftwell/proof/holders.py
@@ -1,4 +1,4 @@
-"""The rule `one_holder`, from what a resource wrote down and from nothing else.  No I/O."""
+"""Checks the rule `one_holder` against the acts that the stand-in resource recorded.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def one_holder(acts: Sequence[Act]) -> tuple[int, int]:
-    """Acts of two holders that overlap, and acts with an older token after a newer one was seen.
+    """Counts overlaps of acts of different holders, and acts with an older token after a newer one.
 
-    An act whose link ended is over at the resource then.
+    For the resource, an act ends at the latest when its connection ends.
     """
     overlaps = older = 0
     ordered = sorted(acts, key=lambda act: act.began)
@@ -26,7 +26,8 @@
 
 
 def gaps(acts: Sequence[Act]) -> list[float]:
-    """For each change of holder, us from the last act of the one to the first of the next."""
+    """For each change of holder, the microseconds from the end of the last act of the previous holder to the
+    first act of the next."""
     ordered = sorted(acts, key=lambda act: act.began)
     out, last = [], None
     for act in ordered:
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -234,7 +234,7 @@
             await settle(lambda: len(gw.amqp[0].consumer.outbox) >= 4)
             assert not asker.answers.keys() & set(asks)
             assert "published-blocked" not in {
-                event["ev"] for event in b.trace.kept if event.get("client") == "gw"
+                event["ev"] for event in b.trace.events if event.get("client") == "gw"
             }
             kinds = [await asker.answer(corr, 8) for corr in asks]
             assert {kind for kind, _ in kinds} <= {"served", "refused"}
@@ -375,7 +375,7 @@
                 assert await asker.answer("late") == ("refused", "no-time-left")
                 assert await asker.call("consigna", "good") == ("served", "ok")
             assert calls == ["good"]
-            assert [e["corr"] for e in b.trace.kept if e["ev"] == "expired"] == ["q1"]
+            assert [e["corr"] for e in b.trace.events if e["ev"] == "expired"] == ["q1"]
 
     run(main())
 
@@ -595,7 +595,7 @@
             kinds = [(await asker.answer(corr))[0] for corr in asks]
             assert "failed" not in kinds and kinds.count("served") >= 5
             assert link in b.connections  # the same connection all along
-            assert not any(event["ev"] == "violation" for event in b.trace.kept)
+            assert not any(event["ev"] == "violation" for event in b.trace.events)
             assert all(len(told) == 1 for told in asker.answers.values())
             unsafe = [key for key in calls if int(key[1:]) % 2]
             assert len(unsafe) == len(set(unsafe)) > 0
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -188,7 +188,7 @@
             console = await Console().connect(gw.listener_port)
             await console.call("consigna", "warm-up")
             await fault(console, workers, trace, gw)
-        found.append(check(trace.kept, limits).broken)
+        found.append(check(trace.events, limits).broken)
 
     run(main())
     return {name for name, count in found[0].items() if count}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -471,14 +471,14 @@
             return writer
 
         def received():
-            return [(event["worker"], event["state"]) for event in trace.kept if event["ev"] == "told"]
+            return [(event["worker"], event["state"]) for event in trace.events if event["ev"] == "told"]
 
         (await ask(0, read=True)).close()
         assert received() == [(replaced, "running"), (drained, "draining")]
-        asked = sum(event["ev"] == "list-asked" for event in trace.kept)
+        asked = sum(event["ev"] == "list-asked" for event in trace.events)
         killed = await ask(listing.index, read=False)
         for _ in range(400):  # its request waits for a change of the list
-            if sum(event["ev"] == "list-asked" for event in trace.kept) > asked:
+            if sum(event["ev"] == "list-asked" for event in trace.events) > asked:
                 break
             await asyncio.sleep(0.005)
         killed.close()
