--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -40,8 +40,8 @@
 from swiftwell.lab.town import Town
 from swiftwell.lab.zone import Zone
 from swiftwell.proof import days
+from swiftwell.proof.gateway_fleet import free_ports
 from swiftwell.proof.runner import Player
-from swiftwell.proof.together import free_ports
 
 FIGURES = Path(__file__).resolve().parent.parent / "docs" / "figures" / "fleet-trials.json"
 HEAD = """
--- a/swiftwell/proof/runner.py
+++ b/swiftwell/proof/runner.py
@@ -23,8 +23,8 @@
 from swiftwell.handover.new import STEPS
 from swiftwell.proof import days
 from swiftwell.proof.account import account
+from swiftwell.proof.gateway_fleet import GatewayFleet
 from swiftwell.proof.rules import check
-from swiftwell.proof.together import Town
 from swiftwell.proof.trace import Trace, read
 from swiftwell.proof.verdict import handovers, quantile, sharing, starting, verdict, warmth
 
@@ -134,7 +134,7 @@
         self._broker_at = self._amqp_at = ""
         self.gateway_logs: list[Path] = []
         self.health: list[int] = []
-        self.town: Town | None = None
+        self.gateway_fleet: GatewayFleet | None = None
         self._clocks: dict[int, dict[str, str]] = {}  # a switch for gateways whose clock is off
         self._busy = [asyncio.Lock() for _ in range(day.gateways)]
 
@@ -150,8 +150,8 @@
             await asyncio.gather(*(program.end() for program in self._gateways))
             for program in reversed(self._programs):
                 await program.end()
-            if self.town:
-                self.town.close()
+            if self.gateway_fleet:
+                self.gateway_fleet.close()
         events = read(self.folder)
         found = check(events, self.day.limits())
         result = verdict(self.name, self.seed, time.monotonic() - began, events, found)
@@ -164,10 +164,10 @@
             result["sharing"] = sharing(events)
         if any(one.do == "restart" for one in self.day.troubles):
             result["warm"] = warmth(events)
-        if self.town and any(one.do == "herd" for one in self.day.troubles):
+        if self.gateway_fleet and any(one.do == "herd" for one in self.day.troubles):
             result["account"] = account(events)
-        if self.town:
-            result["fleet"] = fleet = self.town.verdict(events)
+        if self.gateway_fleet:
+            result["fleet"] = fleet = self.gateway_fleet.verdict(events)
             overlaps = fleet["overlaps"] if self._bounded() else 0  # else the resource's check is what holds
             result["rules"]["one_holder"] = overlaps + fleet["older"]
             found.broken["one_holder"] = result["rules"]["one_holder"]
@@ -215,8 +215,8 @@
             self._amqp, self._amqp_at = amqp, f"127.0.0.1:{told['port']}"
         await self._prepare_lists(fleet_told)
         if day.together:
-            self.town = Town(day, self.seed)
-            await self.town.start()
+            self.gateway_fleet = GatewayFleet(day, self.seed)
+            await self.gateway_fleet.start()
         self._sites = [self.folder / f"gw-{number}.kdl" for number in range(day.gateways)]
         self._ports, self.health = [0] * day.gateways, [0] * day.gateways
         gate = asyncio.Semaphore(AT_ONCE)
@@ -287,7 +287,7 @@
             self.health[number],
             str(self.folder / "workers.kdl") if self.day.saved == "blind" else "",
             self._amqp_at,
-            self.town.block(number) if self.town else "",
+            self.gateway_fleet.settings_block(number) if self.gateway_fleet else "",
         )
         self._sites[number].write_text(text)
         program, told = await Program.start(
@@ -332,8 +332,8 @@
                     numbers = self._whom(one)
                     await asyncio.gather(*(self._kill(number, one.for_s) for number in numbers))
                     await asyncio.sleep(one.one_by_one_s)
-            case between if between in days.BETWEEN and self.town:
-                await self._together(one, self.town)
+            case between if between in days.BETWEEN and self.gateway_fleet:
+                await self._together(one, self.gateway_fleet)
             case "upgrade":
                 await self._upgrades(one)
             case "restart":
@@ -402,17 +402,17 @@
         self._gateways[number] = await self._gateway(number)
 
     def _whom(self, one: days.Trouble) -> list[int]:
-        if not self.town:
+        if not self.gateway_fleet:
             return [one.gateway]
-        return self.town.whom(one, read(self.folder) if one.whom == "reader" else [])
+        return self.gateway_fleet.targets(one, read(self.folder) if one.whom == "reader" else [])
 
-    async def _together(self, one: days.Trouble, town: Town) -> None:
+    async def _together(self, one: days.Trouble, gateway_fleet: GatewayFleet) -> None:
         """Troubles between gateways."""
-        numbers, faults = self._whom(one), town.relay.faults
-        rest = set(range(town.size)) - set(numbers)
+        numbers, faults = self._whom(one), gateway_fleet.relay.faults
+        rest = set(range(gateway_fleet.size)) - set(numbers)
         match one.do:
             case "site":
-                await self._site(one, town)
+                await self._site(one, gateway_fleet)
             case "herd":
                 await asyncio.gather(*(self._kill(number, one.for_s) for number in numbers))
             case "stop":
@@ -434,7 +434,9 @@
                 await asyncio.sleep(one.for_s)
                 faults.cut -= added
             case "silence-resource":
-                added = {(number, town.size) for number in numbers} | {(town.size, n) for n in numbers}
+                added = {(number, gateway_fleet.size) for number in numbers} | {
+                    (gateway_fleet.size, n) for n in numbers
+                }
                 faults.cut |= added
                 await asyncio.sleep(one.for_s)
                 faults.cut -= added
@@ -447,13 +449,13 @@
                 for number in numbers:
                     await self._again(number, signal.SIGKILL, why="clock")
             case "epoch":  # one after the other, as an operator would
-                town.next_epoch()
-                for number in range(town.size):
+                gateway_fleet.next_epoch()
+                for number in range(gateway_fleet.size):
                     await self._again(number, signal.SIGTERM, why="epoch")
 
-    async def _site(self, one: days.Trouble, town: Town) -> None:
+    async def _site(self, one: days.Trouble, gateway_fleet: GatewayFleet) -> None:
         """A part of a site's calc servers, all by default, and its gateways where the day says so."""
-        zones = town.told.zones
+        zones = gateway_fleet.settings.zones
         mine = [number for number in range(self._workers) if number % zones == one.zone]
         for number in mine[: max(1, round(one.part * len(mine)))]:
             match one.fault:
@@ -465,7 +467,7 @@
                     fault = {"name": "slow", "for_s": one.for_s, "times": one.times}
                     await self._fleet.tell(do="fault", worker=number, **fault)
         if one.routers:
-            gone = [number for number in range(town.size) if number % zones == one.zone]
+            gone = [number for number in range(gateway_fleet.size) if number % zones == one.zone]
             await asyncio.gather(*(self._kill(number, one.for_s) for number in gone))
 
     async def _kill(self, number: int, away_s: float) -> None:
--- a/swiftwell/scale/membership.py
+++ b/swiftwell/scale/membership.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from swiftwell.fleet.members import PERIOD_US
-from swiftwell.proof.together import free_ports
+from swiftwell.proof.gateway_fleet import free_ports
 from swiftwell.scale.cases import MembershipCase
 
 VIEWS_PERIODS = 25.0  # periods until all views have to be right, at a start and after a fault
--- a/swiftwell/scale/real_member.py
+++ b/swiftwell/scale/real_member.py
@@ -18,7 +18,7 @@
 import psutil
 
 from swiftwell.fleet.members import PERIOD_US
-from swiftwell.proof.together import free_ports
+from swiftwell.proof.gateway_fleet import free_ports
 from swiftwell.scale.cases import MemberCase, MembershipCase
 from swiftwell.scale.membership import Process, divided
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,8 +16,8 @@
 
 from socketbench import SITE, Console, http, raw_worker
 
-from swiftwell.proof.holders import one_holder
-from swiftwell.proof.together import free_ports
+from swiftwell.proof.gateway_fleet import free_ports
+from swiftwell.proof.holders import count_holder_breaches
 from swiftwell.standins.relay import Relay
 from swiftwell.standins.resource import Act, Resource
 
@@ -170,7 +170,7 @@
             await asyncio.sleep(3 * TERM_MS / 1e3)
             fleet.relay.faults.loss = fleet.relay.faults.twice = fleet.relay.faults.delay_s = 0.0
             await fleet.acts(3)
-            assert one_holder(fleet.resource.acts) == (0, 0) and third
+            assert count_holder_breaches(fleet.resource.acts) == (0, 0) and third
             for n in set(range(SIZE)) - {number(first)}:  # its console was connected to the killed process
                 assert await consoles[n].call("consigna", f"k{n}") == ("served", "ok")
 
@@ -202,7 +202,7 @@
             await fleet.wait_for(
                 lambda: sum(fleet.status(n)["shares"]["cold"] for n in range(SIZE)) > 900_000
             )
-            assert one_holder(fleet.resource.acts) == (0, 0) and holder
+            assert count_holder_breaches(fleet.resource.acts) == (0, 0) and holder
 
     run(main())
 
@@ -231,7 +231,7 @@
                 fleet.relay.faults.split({slow}, set(range(SIZE)) - {slow})
                 await fleet.acts(3, f"gw-{slow}")
                 await asyncio.sleep(TERM_MS / 1e3)
-            assert one_holder(fleet.resource.acts)[1] == 0
+            assert count_holder_breaches(fleet.resource.acts)[1] == 0
             assert all(token < seen for _, token, seen in fleet.resource.turned_away)
 
     run(main())
@@ -239,7 +239,7 @@
 
 def test_the_check_of_one_holder_finds_overlaps_and_older_tokens():
     good = [Act("a", 1, 0, 10), Act("b", 2, 10, 20), Act("a", 3, 30, 40)]
-    assert one_holder(good) == (0, 0)
-    assert one_holder([*good, Act("c", 4, 35, 50)]) == (1, 0)
-    assert one_holder([*good, Act("c", 2, 45, 50)]) == (0, 1)
-    assert one_holder([Act("a", 1, 0, 0), Act("b", 2, 99, 120)]) == (1, 0)
+    assert count_holder_breaches(good) == (0, 0)
+    assert count_holder_breaches([*good, Act("c", 4, 35, 50)]) == (1, 0)
+    assert count_holder_breaches([*good, Act("c", 2, 45, 50)]) == (0, 1)
+    assert count_holder_breaches([Act("a", 1, 0, 0), Act("b", 2, 99, 120)]) == (1, 0)
