--- a/swiftwell/proof/runner.py
+++ b/swiftwell/proof/runner.py
@@ -247,7 +247,7 @@
         self._programs.append(self._publishers)
 
     async def _prepare_lists(self, ready: dict[str, Any]) -> None:
-        """Write saved lists as old as the day says, after changing a fraction of the workers that they name."""
+        """Write saved lists as old as the day says, after changing some of the workers in them."""
         day = self.day
         workers, starts, kinds = list(ready["workers"]), list(ready["started_ms"]), ready["kinds"]
         changed = self._random.sample(range(len(workers)), round(day.saved_wrong * len(workers)))
@@ -267,13 +267,13 @@
         if day.saved == "none":
             return
         wall_us, monotonic_us = time.time_ns() // 1_000, time.monotonic_ns() // 1_000
-        confirmed_at = wall_us - int(day.saved_age_s * 1e6)
+        saved_at_us = wall_us - int(day.saved_age_s * 1e6)
         entries = tuple(
-            saved.SavedWorker(worker, kind, "", 0, False, int(start * 1e3), confirmed_at, confirmed_at)
+            saved.SavedWorker(worker, kind, "", 0, False, int(start * 1e3), saved_at_us, saved_at_us)
             for worker, kind, start in zip(workers, kinds, starts, strict=True)
         )
         # Another boot identifier makes gateways take the age from the wall clock, as after a reboot.
-        saved_list = saved.SavedList(1, confirmed_at, monotonic_us, "earlier", entries)
+        saved_list = saved.SavedList(1, saved_at_us, monotonic_us, "earlier", entries)
         for number in range(day.gateways):
             saved.write(self.folder / f"state-{number}" / "list", saved_list)
         lines = [f'worker "{worker}" kind="{kind}"' for worker, kind in zip(workers, kinds, strict=True)]
