--- a/swiftwell/proof/explore_sites.py
+++ b/swiftwell/proof/explore_sites.py
@@ -1,8 +1,9 @@
-"""Walks the return of a site: the real Conductor and Follower, leases that pass on, words that come late.
+"""Model checker for the return of a site: explores a real Conductor and real Followers, with leases that pass
+to another router and messages that arrive late.
 
-The lease is taken for exclusive here, as proof/explore walks that; what is walked is what conductors and
-followers make of it.  Breaches: a slice sooner than its time, a router that goes ahead by more than one or on
-the word of an earlier conductor, and a state from which good windows never lead to the end.
+The lease is taken to be exclusive, which proof/explore checks; this model checks what conductors and
+followers make of it.  Breaches: a slice that is added too early, a router that advances by more than one
+slice or on a message of an earlier conductor, and a state from which good windows never complete the return.
 """
 
 from __future__ import annotations
@@ -15,42 +16,43 @@
 from swiftwell.sites.back import HOLD_US, SETTLE_US, SLICES, Conductor, Follower, Seen, Word
 
 GOOD, BAD = Seen(20, 20), Seen(20, 5)
-STEP = SETTLE_US // 2  # us of a jump in time: half of what a slice takes
-MOST_WINDOWS = 400  # good windows after which a return counts as stuck: three times what the slowest takes
+STEP_US = SETTLE_US // 2  # advance of time: half of what a slice takes
+MAX_WINDOWS = 400  # good windows after which a return counts as stuck: 3 times those of the slowest
 
 
 @dataclass(slots=True)
 class Scope:
-    """How much may happen on one trace."""
+    """Bounds on what may happen on one trace."""
 
     leases: int = 2
     jumps: int = 4
-    goods: int = 5
-    bads: int = 1
+    good_windows: int = 5
+    bad_windows: int = 1
     routers: int = 2
 
 
 @dataclass(slots=True)
 class ReturnState:
-    """One return under way."""
+    """The state of one return."""
 
     now: int = 0
     token: int = 0
     holder: int = -1
     conductor: Conductor | None = None
-    board: Word | None = None
-    late: Word | None = None  # an earlier word, still on its way
+    latest: Word | None = None  # the conductor's current message
+    late: Word | None = None  # an earlier message, still in transit
     followers: list[Follower] = field(default_factory=list)
-    risen_at: int = -SETTLE_US  # when a slice was last added
+    slice_added_at: int = -SETTLE_US
     leases: int = 0
     jumps: int = 0
-    goods: int = 0
-    bads: int = 0
+    good_windows: int = 0
+    bad_windows: int = 0
     breach: str = ""
 
 
 class ReturnModel:
-    """Routers 0.. follow; whoever has the lease conducts.  Planted faults replace the classes."""
+    """Routers, numbered from 0, follow; the holder of the lease conducts.  Tests replace the classes to plant
+    faults."""
 
     conductor: type[Conductor] = Conductor
     follower: type[Follower] = Follower
@@ -62,11 +64,11 @@
         return ReturnState(followers=[self.follower() for _ in range(self.scope.routers)])
 
     def key(self, state: ReturnState) -> tuple[Any, ...]:
-        one = state.conductor
+        conductor = state.conductor
         return (
-            state.now, state.token, state.holder, _fields(one) if one else None, state.board, state.late,
-            tuple(_fields(follower) for follower in state.followers), state.risen_at, state.leases,
-            state.jumps, state.goods, state.bads,
+            state.now, state.token, state.holder, _fields(conductor) if conductor else None, state.latest,
+            state.late, tuple(_fields(follower) for follower in state.followers), state.slice_added_at, state.leases,
+            state.jumps, state.good_windows, state.bad_windows,
         )  # fmt: skip
 
     def moves(self, state: ReturnState) -> Iterator[tuple[str, ReturnState]]:
@@ -76,25 +78,25 @@
                     new = copy.deepcopy(state)
                     new.leases += 1
                     new.token += 1
-                    new.holder, new.late = name, state.board or state.late
-                    new.conductor = self.conductor(state.now, state.board, new.token)
+                    new.holder, new.late = name, state.latest or state.late
+                    new.conductor = self.conductor(state.now, state.latest, new.token)
                     yield f"lease to {name}", new
         if state.conductor:
-            if state.goods < self.scope.goods:
+            if state.good_windows < self.scope.good_windows:
                 new = self._window(state, GOOD)
-                new.goods += 1
+                new.good_windows += 1
                 yield "a good window", new
-            if state.bads < self.scope.bads and state.conductor.slice:
+            if state.bad_windows < self.scope.bad_windows and state.conductor.slice:
                 new = self._window(state, BAD)
-                new.bads += 1
+                new.bad_windows += 1
                 yield "a bad window", new
         for name in range(self.scope.routers):
-            for what, word in (("word", state.board), ("late word", state.late)):
-                if word is not None:
-                    yield f"{name} hears the {what}", self._hear(state, name, word)
+            for description, message in (("word", state.latest), ("late word", state.late)):
+                if message is not None:
+                    yield f"{name} hears the {description}", self._receive(state, name, message)
         if state.jumps < self.scope.jumps:
             new = copy.deepcopy(state)
-            new.now, new.jumps = state.now + STEP, state.jumps + 1
+            new.now, new.jumps = state.now + STEP_US, state.jumps + 1
             yield "time passes", new
 
     def _window(self, state: ReturnState, seen: Seen) -> ReturnState:
@@ -104,37 +106,37 @@
         new.conductor.look(new.now, seen)
         after = new.conductor.slice
         if after > before:
-            if before and new.now - state.risen_at < SETTLE_US:
-                new.breach = f"slice {after} after {new.now - state.risen_at} us"
-            new.risen_at = new.now
-        new.late, new.board = state.board or state.late, new.conductor.word(0)
-        if not self._ends(new):
+            if before and new.now - state.slice_added_at < SETTLE_US:
+                new.breach = f"slice {after} after {new.now - state.slice_added_at} us"
+            new.slice_added_at = new.now
+        new.late, new.latest = state.latest or state.late, new.conductor.word(0)
+        if not self._completes(new):
             new.breach = f"no way out of slice {after}"
         return new
 
-    def _hear(self, state: ReturnState, name: int, word: Word) -> ReturnState:
+    def _receive(self, state: ReturnState, name: int, message: Word) -> ReturnState:
         new = copy.deepcopy(state)
-        one = new.followers[name]
-        before, token = one.shown, one.token
-        one.look(word, 0)
-        if one.shown > before + 1:
-            new.breach = f"router {name} went from slice {before} to {one.shown} at once"
-        elif one.shown > before and word.token < token:
-            new.breach = f"router {name} followed token {word.token} after {token}"
+        follower = new.followers[name]
+        shown_before, token = follower.shown, follower.token
+        follower.look(message, 0)
+        if follower.shown > shown_before + 1:
+            new.breach = f"router {name} went from slice {shown_before} to {follower.shown} at once"
+        elif follower.shown > shown_before and message.token < token:
+            new.breach = f"router {name} followed token {message.token} after {token}"
         return new
 
     @staticmethod
-    def _ends(state: ReturnState) -> bool:
-        """Whether good windows lead to the end from here."""
-        one, now = copy.deepcopy(state.conductor), state.now
-        assert one
-        for _ in range(MOST_WINDOWS):
-            if one.done:
+    def _completes(state: ReturnState) -> bool:
+        """Whether good windows complete the return from this state."""
+        conductor, now = copy.deepcopy(state.conductor), state.now
+        assert conductor
+        for _ in range(MAX_WINDOWS):
+            if conductor.done:
                 return True
-            now += max(STEP, HOLD_US // 8)
-            one.look(now, GOOD)
-        return one.slice == len(SLICES) and one.done
+            now += max(STEP_US, HOLD_US // 8)
+            conductor.look(now, GOOD)
+        return conductor.slice == len(SLICES) and conductor.done
 
 
-def _fields(one: Any) -> tuple[Any, ...]:
-    return tuple(sorted((name, str(value)) for name, value in vars(one).items() if name != "waits"))
+def _fields(instance: Any) -> tuple[Any, ...]:
+    return tuple(sorted((name, str(value)) for name, value in vars(instance).items() if name != "waits"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -142,10 +142,10 @@
     [
         (LeaseModel(Scope(acts=False)), ()),
         (LeaseModel(Scope(acts=False, restarts=1)), ()),
-        (LeaseModel(Scope(acts=False, doubles=1)), FIRST_HOLDS),
+        (LeaseModel(Scope(acts=False, duplicates=1)), FIRST_HOLDS),
         (LeaseModel(Scope(acts=False, jumps=4, rates=DRIFT)), FIRST_HOLDS),
         (LeaseModel(Scope(jumps=3)), FIRST_HOLDS),
-        (LeaseModel(Scope(jumps=2, stands=1)), FIRST_HOLDS),
+        (LeaseModel(Scope(jumps=2, stalls=1)), FIRST_HOLDS),
         # A clock far beyond the bound: only that no older token takes effect after a newer one is guaranteed.
         (
             LeaseModel(Scope(jumps=3, bounded=False, rates=(SCALE, SCALE, SCALE, SCALE * 8 // 10))),
@@ -163,7 +163,7 @@
 
 def test_a_resource_that_checks_no_tokens_may_see_the_late_action_of_a_paused_holder():
     """guard.py does not guarantee this case; the exploration shows that it does happen."""
-    model = LeaseModel(Scope(jumps=4, stands=1), checked=False)
+    model = LeaseModel(Scope(jumps=4, stalls=1), checked=False)
     state = replay(model, (*FIRST_HOLDS, "3 begins to act", "3 stands still in its act"))
     state.now = 110_000  # the lease has expired, at the voters too
     trace = ("4 asks", "Prepare 4>0 arrives", "Prepare 4>1 arrives", "Propose 4>0 arrives")
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -438,5 +438,5 @@
 
 
 def test_the_return_is_walked_to_the_end_of_a_small_scope():
-    found = walk(ReturnModel(Scope(leases=1, jumps=3, goods=3)), 60_000)
+    found = walk(ReturnModel(Scope(leases=1, jumps=3, good_windows=3)), 60_000)
     assert found.whole and not found.breach and found.states > 200, found
