--- a/swiftwell/proof/explore_sites.py
+++ b/swiftwell/proof/explore_sites.py
@@ -67,8 +67,8 @@
         conductor = state.conductor
         return (
             state.now, state.token, state.holder, _fields(conductor) if conductor else None, state.latest,
-            state.late, tuple(_fields(follower) for follower in state.followers), state.slice_added_at, state.leases,
-            state.jumps, state.good_windows, state.bad_windows,
+            state.late, tuple(_fields(follower) for follower in state.followers), state.slice_added_at,
+            state.leases, state.jumps, state.good_windows, state.bad_windows,
         )  # fmt: skip
 
     def moves(self, state: ReturnState) -> Iterator[tuple[str, ReturnState]]:
