--- a/swiftwell/proof/__init__.py
+++ b/swiftwell/proof/__init__.py
@@ -1,1 +1,1 @@
-"""What went over the sockets, and the checker of the five rules on it."""
+"""Runs days against real gateways, checks the five rules on the traces, and model-checks fleet decisions."""
--- a/swiftwell/proof/rules.py
+++ b/swiftwell/proof/rules.py
@@ -68,7 +68,7 @@
             self.spans[name].append((self.open.pop(name), t))
 
     def overlaps(self, name: str, start: int, end: int) -> bool:
-        ended = any(a <= end and b >= start for a, b in self.spans.get(name, ()))
+        ended = any(down_at <= end and up_at >= start for down_at, up_at in self.spans.get(name, ()))
         return ended or (name in self.open and self.open[name] <= end)
 
 
--- a/swiftwell/proof/verdict.py
+++ b/swiftwell/proof/verdict.py
@@ -188,17 +188,19 @@
     rows = []
     for kind, start, end in changes:
         row: dict[str, Any] = {"what": kind}
-        for name, since, until in (
+        for name, period_start, period_end in (
             ("before", start - int(COMPARED_PERIOD_S * 1e6), start),
             ("after", end, end + int(COMPARED_PERIOD_S * 1e6)),
         ):
-            row[f"warm_{name}"] = share([is_warm for t, is_warm in warm_runs if since <= t < until])
-            row[f"loads_{name}"] = sum(since <= t < until for t in load_times)
+            row[f"warm_{name}"] = share(
+                [is_warm for t, is_warm in warm_runs if period_start <= t < period_end]
+            )
+            row[f"loads_{name}"] = sum(period_start <= t < period_end for t in load_times)
             row[f"in_time_{name}"] = share(
                 [
                     corr in served and served[corr] - try_event["t"] <= try_event["wanted"]
                     for corr, try_event in tries.items()
-                    if since <= try_event["t"] < until
+                    if period_start <= try_event["t"] < period_end
                 ]
             )
         rows.append(row)
