--- a/swiftwell/proof/holders.py
+++ b/swiftwell/proof/holders.py
@@ -1,4 +1,4 @@
-"""The rule `one_holder`, from what a resource wrote down and from nothing else.  No I/O."""
+"""Checks the rule `one_holder` against the acts that the stand-in resource recorded.  No I/O."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 from swiftwell.standins.resource import Act
 
 
-def one_holder(acts: Sequence[Act]) -> tuple[int, int]:
-    """Acts of two holders that overlap, and acts with an older token after a newer one was seen.
+def count_holder_breaches(acts: Sequence[Act]) -> tuple[int, int]:
+    """Counts overlaps of acts of different holders, and acts with an older token after a newer one.
 
-    An act whose link ended is over at the resource then.
+    For the resource, an act ends at the latest when its connection ends.
     """
-    overlaps = older = 0
+    overlaps = stale = 0
     ordered = sorted(acts, key=lambda act: act.began)
-    highest = 0
-    for at, act in enumerate(ordered):
-        older += act.token < highest
-        highest = max(highest, act.token)
-        for other in ordered[at + 1 :]:
+    highest_token = 0
+    for index, act in enumerate(ordered):
+        stale += act.token < highest_token
+        highest_token = max(highest_token, act.token)
+        for other in ordered[index + 1 :]:
             if act.ended and other.began >= act.ended:
                 break
             overlaps += other.who != act.who
-    return overlaps, older
+    return overlaps, stale
 
 
-def gaps(acts: Sequence[Act]) -> list[float]:
-    """For each change of holder, us from the last act of the one to the first of the next."""
+def holder_gaps(acts: Sequence[Act]) -> list[float]:
+    """For each change of holder, the microseconds from the end of the last act of the previous holder to the
+    first act of the next."""
     ordered = sorted(acts, key=lambda act: act.began)
-    out, last = [], None
+    result, previous = [], None
     for act in ordered:
-        if last is not None and act.who != last.who:
-            out.append(float(max(0, act.began - (last.ended or last.began))))
-        last = act
-    return out
+        if previous is not None and act.who != previous.who:
+            result.append(float(max(0, act.began - (previous.ended or previous.began))))
+        previous = act
+    return result
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -478,5 +478,5 @@
 
 
 def test_the_return_is_explored_exhaustively_in_a_small_scope():
-    found = walk(ReturnModel(Scope(leases=1, jumps=3, goods=3)), 60_000)
+    found = walk(ReturnModel(Scope(leases=1, jumps=3, good_windows=3)), 60_000)
     assert found.whole and not found.breach and found.states > 200, found
