--- a/swiftwell/proof/explore_sites.py
+++ b/swiftwell/proof/explore_sites.py
@@ -1,5 +1,5 @@
-"""Model checker for the return of a site: explores a real RecoveryCoordinator and real RecoveryFollowers, with
-leases that pass to another router and messages that arrive late.
+"""Model checker for the return of a site: explores a real RecoveryCoordinator and real RecoveryFollowers,
+with leases that pass to another router and messages that arrive late.
 
 The lease is taken to be exclusive, which proof/explore checks; this model checks what conductors and
 followers make of it.  Breaches: a slice that is added too early, a router that advances by more than one
