--- a/swiftwell/scale/cases.py
+++ b/swiftwell/scale/cases.py
@@ -1,4 +1,4 @@
-"""Cases of a scale run: their factors, the sizes of each, and the bounds of the machine.  No I/O."""
+"""Cases of a scale run: their factors, the sizes of each factor, and the limits of the machine.  No I/O."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from swiftwell.scale.popularity import EXPONENT
 
-MAX_WORKERS = 200_000  # listed workers: the address of each instance, and some more
+MAX_WORKERS = 200_000  # listed workers: above the number of instances at the target size
 MAX_FUNCTIONS = 1_000_000
 MAX_CALLS_PER_S = 5_000.0  # a router of the platform serves about 1,000
 MAX_CHANGES_PER_S = 1_000.0
-MAX_ROUTERS = 10_000  # told to the module, never started
-MAX_MEMBERS = 800  # members of a fleet in hollow processes: two in a hundred of the machine's memory
+MAX_ROUTERS = 10_000  # a setting of the decision module; these routers are not started
+MAX_MEMBERS = 800  # fleet members in hollow processes; they take 2% of the machine's memory
 MAX_PROCESSES = 20
 MAX_STRETCH = 20.0
-FLAT_EXPONENT = 1.05  # a law under which a router meets thousands of functions within a minute
+FLAT_EXPONENT = 1.05  # Zipf exponent at which a router sees thousands of functions a minute
 
 
 class CaseError(ValueError):
-    """A case that can't be run; the text names the factor and what was expected."""
+    """A case that cannot be run; the message names the factor and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingCase:
-    """One router's decision module, with its list and calls, in virtual time."""
+    """The decision module of one router, with a worker list and calls, in virtual time."""
 
     workers: int = 1_000
     functions: int = 55_000
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipCase:
-    """Members of a fleet in hollow processes over real datagrams.  `stretch` multiplies the period."""
+    """Fleet members in hollow processes that exchange real datagrams; `stretch` multiplies the period."""
 
     members: int = 50
     processes: int = 10
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListCase:
-    """A real router process that is told its list at its start and follows changes over a real socket."""
+    """A real router process that gets its worker list at start and its changes over a real socket."""
 
     workers: int = 1_000
     functions: int = 55_000
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdCase:
-    """Many routers' modules in one virtual time, while most of the workers are replaced by cold ones."""
+    """Decision modules of many routers in one virtual time, while cold workers replace most others."""
 
     routers: int = 20
     workers: int = 40
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageCase:
-    """Routers whose list falls silent, in one virtual time; `calls_per_s` is each router's."""
+    """Routers that stop receiving the worker list, in one virtual time; `calls_per_s` is per router."""
 
     routers: int = 20
     workers: int = 120
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberCase:
-    """A real gateway process among so many hollow members."""
+    """A real gateway process in a fleet of hollow members."""
 
     members: int = 50
     processes: int = 10
@@ -108,29 +108,29 @@
     "changes_per_s": (0.0, 1.0, 10.0, 100.0),
     "routers": (3, 60, 200, 1_400),
 }
-_CORNERS = ((120, 100.0), (10_000, 0.0), (10_000, 100.0))  # workers and changes, which matter most together
+_CORNERS = ((120, 100.0), (10_000, 0.0), (10_000, 100.0))  # workers and changes per second
 _LIST_SIZES = (120, 1_000, 4_000, 10_000)
 
 
 def kind_of(case: Case) -> str:
-    """The name of a case's kind."""
-    return next(name for name, made in KINDS.items() if isinstance(case, made))
+    """Return the kind of a case, as named in `KINDS`."""
+    return next(name for name, case_class in KINDS.items() if isinstance(case, case_class))
 
 
-def make(kind: str, given: dict[str, object]) -> Case:
-    """A case from its factors; raises CaseError."""
+def make(kind: str, factors: dict[str, object]) -> Case:
+    """Build a case from its factors; raises CaseError."""
     if kind not in KINDS:
         raise CaseError(f"kind {kind!r}: expected one of {', '.join(KINDS)}")
     known = {field.name: field for field in fields(KINDS[kind])}
     values: dict[str, object] = {}
-    for name, value in given.items():
+    for name, value in factors.items():
         if name not in known:
-            raise CaseError(f"{name!r} is no factor of {kind}: expected one of {', '.join(known)}")
+            raise CaseError(f"{name!r} is not a factor of {kind}: expected one of {', '.join(known)}")
         values[name] = _value(name, value, known[name].default)
     case = KINDS[kind](**values)  # type: ignore[arg-type]
     if isinstance(case, MembershipCase | MemberCase) and case.members < case.processes:
         raise CaseError(
-            f"members: {case.members} in {case.processes} processes, expected one in each at least"
+            f"members: {case.members} in {case.processes} processes, expected at least one member in each"
         )
     return case
 
@@ -141,23 +141,23 @@
             raise CaseError(f"fault: {value!r}, expected one of {', '.join(FAULTS)}")
         return value
     try:
-        found = type(default)(value)  # type: ignore[call-arg]
+        number = type(default)(value)  # type: ignore[call-arg]
     except (TypeError, ValueError):
         raise CaseError(f"{name}: {value!r}, expected a number") from None
-    least, most = _LIMITS[name]
-    if not least <= found <= most:
-        raise CaseError(f"{name}: {value}, expected {least:,} to {most:,} on this machine")
-    return found
+    minimum, maximum = _LIMITS[name]
+    if not minimum <= number <= maximum:
+        raise CaseError(f"{name}: {value}, expected {minimum:,} to {maximum:,} on this machine")
+    return number
 
 
 def key(case: Case) -> str:
-    """A case's name among results."""
+    """Return the name that identifies the case in result files."""
     factors = ",".join(f"{name}={value}" for name, value in asdict(case).items())
     return f"{kind_of(case)}:{factors}"
 
 
 def workers_plan() -> list[RoutingCase]:
-    """Sizes of the list under two laws of popularity, and the corners of list and changes."""
+    """Sizes of the worker list under two Zipf exponents, and combinations of list size and change rate."""
     base = RoutingCase()
     sizes = [replace(base, workers=workers) for workers in _WORKERS]
     flat = [replace(base, workers=workers, exponent=FLAT_EXPONENT) for workers in _WORKERS[:-1]]
@@ -166,14 +166,17 @@
 
 
 def routing_plan() -> list[RoutingCase]:
-    """The sizes of the list, and each other factor by itself."""
+    """Sizes of the worker list, and every other factor varied alone."""
     base = RoutingCase()
     others = [replace(base, **{factor: size}) for factor, sizes in _FACTORS.items() for size in sizes]
     return list(dict.fromkeys(workers_plan() + others))
 
 
 def membership_plan() -> list[MembershipCase]:
-    """Sizes in real time, one stretched beside its twin, and the faults."""
+    """Sizes in real time, the same with a longer period, and faults.
+
+    The size 100 is run with both periods, for comparison.
+    """
     sizes = [MembershipCase(members=members) for members in (50, 100, 200)]
     stretched = [MembershipCase(members=100, stretch=2.0), MembershipCase(members=400, stretch=3.0)]
     faults = [
@@ -185,25 +188,25 @@
 
 
 def list_plan() -> list[ListCase]:
-    """Sizes of the list at a real router, and of its changes."""
+    """Sizes of the worker list of a real router, and rates of its changes."""
     return [ListCase(workers=workers) for workers in _LIST_SIZES] + [
         ListCase(workers=4_000, changes_per_s=changes) for changes in (10.0, 100.0)
     ]
 
 
 def member_plan() -> list[MemberCase]:
-    """A real gateway among more and more hollow members."""
+    """A real gateway among growing numbers of hollow members."""
     return [MemberCase(members=members) for members in (50, 200, 400)]
 
 
 def cold_plan() -> list[ColdCase]:
-    """Ten seeds of small fleets, some of large ones."""
+    """Ten seeds of each small fleet, three of a large one."""
     plan = [ColdCase(routers, seed=seed) for routers in (3, 20, 30) for seed in range(1, 11)]
     return plan + [ColdCase(200, seed=seed) for seed in range(1, 4)]
 
 
 def outage_plan() -> list[OutageCase]:
-    """Fleets of growing size at the same calls a router, and one router of the target's among its workers."""
+    """Fleets of growing size at the same calls per router, and routers at the load of the target size."""
     fleets = [
         OutageCase(routers, workers) for routers, workers in ((20, 12), (50, 30), (100, 60), (200, 120))
     ]
@@ -217,7 +220,7 @@
 
 
 def small_plan() -> list[Case]:
-    """What CI plays within seconds."""
+    """Cases that CI runs within seconds."""
     return [
         RoutingCase(workers=60, functions=200, seconds=3.0),
         RoutingCase(workers=400, functions=200, seconds=3.0),
--- a/swiftwell/scale/hollow_members.py
+++ b/swiftwell/scale/hollow_members.py
@@ -1,9 +1,9 @@
-"""A process with many hollow members of a fleet: the shipped membership code over real datagrams.
+"""A process with many hollow members of a fleet: the production membership code over real datagrams.
 
     python -m swiftwell.scale.hollow_members '{"first": 0, "count": 5, "ports": [...], ...}'
 
-Commands come as JSON lines on standard input, each is answered by one line: `stats` with the living members,
-`cut` with those that are not to be reached.
+Reads commands as JSON lines from standard input and answers each with one line.  `stats` takes the members
+that are alive and returns `Stats`; `cut` takes the members to which all datagrams are dropped from then on.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 class HollowLink(FleetLink):
-    """A fleet link whose datagrams are counted, lost and cut as told."""
+    """A fleet link that counts its datagrams and drops those that `Faults` selects."""
 
-    def __init__(self, told: FleetSettings, ports: list[int], faults: Faults) -> None:
+    def __init__(self, settings: FleetSettings, ports: list[int], faults: Faults) -> None:
         addresses = tuple((HOST, port) for port in ports)
-        super().__init__(told, addresses[told.me], addresses, lambda *args, **fields: None)
+        super().__init__(settings, addresses[settings.me], addresses, lambda *args, **fields: None)
         self._faults, self.datagrams, self.bytes = faults, 0, 0
 
     def send(self, to: int, raw: bytes) -> None:
-        """One datagram."""
+        """Send a datagram, unless a fault drops it."""
         self.datagrams += 1
         self.bytes += len(raw)
         if not self._faults.drops(to):
@@ -40,24 +40,24 @@
 
 
 class Faults:
-    """What is lost between members."""
+    """Faults of the network between members: random loss, and members that cannot be reached."""
 
     def __init__(self, seed: int) -> None:
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self.loss, self.cut = 0.0, frozenset[int]()
 
     def drops(self, to: int) -> bool:
-        """Whether a datagram is lost on its way."""
-        return to in self.cut or self._chance.random() < self.loss
+        """Return whether to drop a datagram to this member."""
+        return to in self.cut or self._rng.random() < self.loss
 
 
 @dataclass(frozen=True, slots=True)
 class Stats:
-    """Sums over the members of a process."""
+    """Sums over all members of a process."""
 
     members: int
-    right: int  # whose view is that of who lives
-    died: int  # times that a member was taken for dead
+    right: int  # members whose view holds exactly the members alive
+    died: int  # times that a member was declared dead
     datagrams: int
     bytes: int
     cpu_s: float
@@ -79,7 +79,7 @@
         ]
 
     async def run(self) -> None:
-        """Until standard input ends."""
+        """Run the members until standard input ends."""
         for link in self.links:
             await link.start()
         reader = asyncio.StreamReader()
@@ -111,8 +111,8 @@
 
 
 def main() -> int:
-    """One process of members."""
-    print("{}", flush=True)  # it runs
+    """Run one process of members."""
+    print("{}", flush=True)  # tells the parent that the process runs
     asyncio.run(Host(**json.loads(sys.argv[1])).run())
     return 0
 
--- a/swiftwell/scale/hollow_router.py
+++ b/swiftwell/scale/hollow_router.py
@@ -1,9 +1,9 @@
-"""A hollow router: the shipped decision module with its list and calls, in virtual time, without sockets.
+"""A hollow router: the production decision module with its list and calls, in virtual time, without sockets.
 
     python -m swiftwell.scale.hollow_router '{"workers": 1000, ...}'
 
-prints one JSON object.  It runs in a process of its own, so that memory and processor time are the module's.
-Workers are hollow as well: each call is answered after `SERVICE_US`, by a copy that stood.
+prints one JSON object.  It runs in its own process, so that memory and processor time are the module's.  The
+workers are simulated: each call is answered after `SERVICE_US` by a copy that is already loaded.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 from swiftwell.scale.popularity import Popularity
 from swiftwell.scale.target import TARGET
 
-SERVICE_US = 50_000  # us of a call at a worker
+SERVICE_US = 50_000  # time that a worker takes for a call
 COPY_MB = 200.0
 WORKER_MB = 8_000.0
-REUSED = 1  # the note of an answer by a copy that stood
+REUSED = 1  # note of an answer from a copy that was already loaded
 KINDS = (("std", WORKER_MB),)
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingResult:
-    """Processor times are the thread's own, in microseconds; memory is what the module added, in MB."""
+    """Processor times are those of the thread, in microseconds; memory is the growth by the module, in MB."""
 
     calls: int
     served: int
-    call_us: float  # mean, with timers and answers
-    call_p99_us: float  # of a call's arrival
-    change_us: float  # of a change of the list, by itself
-    list_us: float  # of the whole list
-    cores: float  # of one core, over the virtual time
+    call_us: float  # mean, with the timers and answers of the call
+    call_p99_us: float  # 99th percentile of the arrival of a call
+    change_us: float  # mean of a change of the list
+    list_us: float  # of taking the full list
+    cores: float  # share of one core over the virtual time
     memory_mb: float
     workers_used: int
     functions_seen: int
-    order_entries: int  # workers kept in the orders of all functions
+    order_entries: int  # workers in the rankings of all functions
 
 
 def settings(routers: int) -> io.Settings:
-    """Those of a large fleet whose workers load by themselves."""
+    """Return the settings of a large fleet whose workers load functions by themselves."""
     lectura = io.RequestClass("lectura", 400_000, 1_500_000, io.Effect.SAFE, "all", 0, False, 1.0, 0.1)
     return io.Settings(
         classes=(lectura,), tenants=(), routers=routers, position=1, tick_us=1_000, zone="z0",
@@ -64,115 +64,118 @@
 
 
 def entry(number: int, generation: int = 0, state: io.State = io.State.READY) -> io.WorkerEntry:
-    """A worker of the list."""
+    """Return an entry of the worker list."""
     return io.WorkerEntry(
         f"s-{number:06x}{generation:02x}", state, "std", 1.0, 0, f"z{number % TARGET.zones}", 0
     )
 
 
 class HollowRouter:
-    """One router's module in virtual time."""
+    """The decision module of one router in virtual time."""
 
     def __init__(self, case: RoutingCase) -> None:
         self.case = case
-        self._chance = random.Random(case.seed)
+        self._rng = random.Random(case.seed)
         self._popularity = Popularity(case.functions, case.exponent)
         self._generations = [0] * case.workers
-        self._due: list[tuple[int, int, object]] = []
+        self._events: list[tuple[int, int, object]] = []
         self._sequence = 0
         self._attempts: dict[str, int] = {}
-        self._arrivals: list[int] = []
-        self._changes: list[int] = []
-        self._spent_ns = self.served = 0
-        self._used: set[str] = set()
+        self._arrival_cpu_ns: list[int] = []
+        self._change_cpu_ns: list[int] = []
+        self._cpu_ns = self.served = 0
+        self._used_workers: set[str] = set()
         gc.collect()
-        before = psutil.Process().memory_info().rss
+        rss_before = psutil.Process().memory_info().rss
         self.router = Router(settings(case.routers), case.seed)
-        self._before = before
+        self._rss_before = rss_before
 
     def run(self) -> RoutingResult:
-        """Play the case to its end."""
+        """Run the case to its end."""
         case, now = self.case, 1_000_000
         entries = tuple(entry(number) for number in range(case.workers))
         list_ns = self._handle(now, io.Members(io.ListKind.FULL, entries))
-        self._spent_ns = 0
+        self._cpu_ns = 0
         end = now + int(case.seconds * 1e6)
-        self._plan(now, end)
-        while self._due and self._due[0][0] <= end:
-            now, _, event = heapq.heappop(self._due)
-            spent = self._handle(now, event)
+        self._schedule_load(now, end)
+        while self._events and self._events[0][0] <= end:
+            now, _, event = heapq.heappop(self._events)
+            cpu_ns = self._handle(now, event)
             if isinstance(event, io.Request):
-                self._arrivals.append(spent)
+                self._arrival_cpu_ns.append(cpu_ns)
             elif isinstance(event, io.Members):
-                self._changes.append(spent)
+                self._change_cpu_ns.append(cpu_ns)
         return self._result(list_ns)
 
-    def _plan(self, now: int, end: int) -> None:
-        """Calls and changes of the list, at random times."""
-        for per_s, make in ((self.case.calls_per_s, self._request), (self.case.changes_per_s, self._change)):
+    def _schedule_load(self, now: int, end: int) -> None:
+        """Schedule calls and changes of the list at random times."""
+        for rate_per_s, make_event in (
+            (self.case.calls_per_s, self._request),
+            (self.case.changes_per_s, self._change),
+        ):
             at = float(now)
-            while per_s and (at := at + self._chance.expovariate(per_s) * 1e6) < end:
-                self._add(int(at), make())
+            while rate_per_s and (at := at + self._rng.expovariate(rate_per_s) * 1e6) < end:
+                self._schedule(int(at), make_event())
 
     def _request(self) -> io.Request:
-        number, function = self._sequence, self._popularity.draw(self._chance)
+        number, function = self._sequence, self._popularity.draw(self._rng)
         name = f"fn-{function:08x}"
         return io.Request(f"call-{number}", "lectura", "", name, 1_500_000, 0, COPY_MB, 2, 0, False)
 
     def _change(self) -> io.Members:
-        """A worker goes, and another comes in its place."""
-        number = self._chance.randrange(self.case.workers)
+        """Return a change of the list that replaces a random worker."""
+        number = self._rng.randrange(self.case.workers)
         gone = entry(number, self._generations[number], io.State.GONE)
         self._generations[number] = (self._generations[number] + 1) % 256
         return io.Members(io.ListKind.DELTA, (gone, entry(number, self._generations[number])))
 
-    def _add(self, at: int, event: object) -> None:
+    def _schedule(self, at: int, event: object) -> None:
         self._sequence += 1
-        heapq.heappush(self._due, (at, self._sequence, event))
+        heapq.heappush(self._events, (at, self._sequence, event))
 
     def _handle(self, now: int, event: io.Event) -> int:
-        began = time.thread_time_ns()
+        started_ns = time.thread_time_ns()
         actions = self.router.handle(now, [event])
-        spent = time.thread_time_ns() - began
-        self._spent_ns += spent
+        cpu_ns = time.thread_time_ns() - started_ns
+        self._cpu_ns += cpu_ns
         for action in actions:
-            self._carry_out(now, action)
-        return spent
+            self._execute(now, action)
+        return cpu_ns
 
-    def _carry_out(self, now: int, action: io.Action) -> None:
+    def _execute(self, now: int, action: io.Action) -> None:
         match action:
             case io.SetTimer():
-                self._add(now + action.delay_us, io.Timer(action.token))
+                self._schedule(now + action.delay_us, io.Timer(action.token))
             case io.Send():
                 number = self._attempts[action.id] = self._attempts.get(action.id, -1) + 1
-                self._used.add(action.worker)
+                self._used_workers.add(action.worker)
                 self.served += 1
                 outcome = io.Outcome(
                     action.id, number, action.worker, io.Status.OK, SERVICE_US, True, REUSED, ()
                 )
-                self._add(now + SERVICE_US, outcome)
+                self._schedule(now + SERVICE_US, outcome)
 
     def _result(self, list_ns: int) -> RoutingResult:
-        arrivals = sorted(self._arrivals) or [0]
-        calls = max(1, len(self._arrivals))
-        memory = psutil.Process().memory_info().rss - self._before
+        arrivals = sorted(self._arrival_cpu_ns) or [0]
+        calls = max(1, len(self._arrival_cpu_ns))
+        memory = psutil.Process().memory_info().rss - self._rss_before
         return RoutingResult(
-            calls=len(self._arrivals),
+            calls=len(self._arrival_cpu_ns),
             served=self.served,
-            call_us=round((self._spent_ns - sum(self._changes)) / calls / 1e3, 1),
+            call_us=round((self._cpu_ns - sum(self._change_cpu_ns)) / calls / 1e3, 1),
             call_p99_us=round(arrivals[int(0.99 * (len(arrivals) - 1))] / 1e3, 1),
-            change_us=round(statistics.fmean(self._changes) / 1e3, 1) if self._changes else 0.0,
+            change_us=round(statistics.fmean(self._change_cpu_ns) / 1e3, 1) if self._change_cpu_ns else 0.0,
             list_us=round(list_ns / 1e3, 1),
-            cores=round(self._spent_ns / 1e9 / self.case.seconds, 4),
+            cores=round(self._cpu_ns / 1e9 / self.case.seconds, 4),
             memory_mb=round(memory / 1e6, 1),
-            workers_used=len(self._used),
+            workers_used=len(self._used_workers),
             functions_seen=len(self.router.functions),
             order_entries=sum(len(function.ranked_workers) for function in self.router.functions.values()),
         )
 
 
 def main() -> int:
-    """One case, in this process."""
+    """Run one case in this process and print its result as JSON."""
     print(json.dumps(asdict(HollowRouter(RoutingCase(**json.loads(sys.argv[1]))).run())))
     return 0
 
