--- a/benchmarks/connection_flood.py
+++ b/benchmarks/connection_flood.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 from swiftwell.scale.hollow_ends import DEADLINE_S, HOST, FrontServer, configuration, serve_worker
-from swiftwell.scale.real_router import RouterProcess, connected, free_port
+from swiftwell.scale.real_router import RouterProcess, connect_when_ready, free_port
 
 CALLS = 60  # requests a second of the steady client: what a busy router of a large fleet sees
 NEW_EVERY = 4  # every so many requests come on a connection of their own
@@ -38,7 +38,7 @@
     def __init__(self, port: int) -> None:
         self.port, self._kept, self.times = port, None, []
 
-    async def ask(self, number: int) -> None:
+    async def call(self, number: int) -> None:
         """One request; its time is noted, infinite where it was not served."""
         began = time.monotonic()
         try:
@@ -49,12 +49,12 @@
 
     async def _exchange(self, number: int) -> bool:
         if number % NEW_EVERY:
-            if self._kept is None or self._kept.ended:
+            if self._kept is None or self._kept.closed_by_router:
                 self._kept = await FrontServer.connect(self.port)
-            return await self._kept.ask(number)
+            return await self._kept.call(number)
         front = await FrontServer.connect(self.port)
         try:
-            return await front.ask(number)
+            return await front.call(number)
         finally:
             front.close()
 
@@ -82,7 +82,7 @@
     told = configuration(port, worker.sockets[0].getsockname()[1])
     router = RouterProcess(told, root, CPU)
     try:
-        (await connected(port)).close()
+        (await connect_when_ready(port)).close()
         return await _measure(router, port, rate, seconds) | {"root": root, "rate": rate}
     finally:
         router.end()
@@ -97,7 +97,7 @@
     asked = []
     while (spent := time.monotonic() - began) < seconds:
         while len(asked) < CALLS * spent:
-            asked.append(asyncio.ensure_future(client.ask(len(asked) + 1)))
+            asked.append(asyncio.ensure_future(client.call(len(asked) + 1)))
         await asyncio.sleep(0.002)
     cpu_s = router.cpu_s() - before
     await asyncio.gather(*asked)
