--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,9 +1,8 @@
-"""The whole path: calls a second through one gateway on one core, and the latency that it adds at a given
-rate.
+"""The whole path: calls per second through one gateway on one core, and the latency at a given rate.
 
-Side by side in one run: the module, and a two-line random choice in its place.  The gateway is a process of
-its own, pinned to one core; workers answer at once from processes of their own (their time is the path's
-floor).  Latency is taken from the publishers' side against a call sent straight to a worker.
+Compares the decision module with a two-line random choice in its place, in one run.  The gateway runs in its
+own process, pinned to one core.  Workers answer at once from their own processes; their time is the lower
+bound of the path.  Latency is measured at the publishers, against a call sent directly to a worker.
 
     python -m benchmarks.path [--seconds 8] [--workers 24] [--profile]
 """
@@ -41,12 +40,12 @@
 """
 
 
-ALL = sorted(os.sched_getaffinity(0))
+CORES = sorted(os.sched_getaffinity(0))
 LOADS = (("fastest", 0, "lectura"), ("at 640", 640, "lectura"), ("unsafe at 200", 200, "consigna"))
 
 
-class Anywhere(Router):
-    """The two-line random choice: any worker that is ready, at once."""
+class RandomChoice(Router):
+    """Chooses a random ready worker at once."""
 
     def _place(self, call):  # type: ignore[no-untyped-def]
         self._send(call, random.choice(self.ready), False)
@@ -54,7 +53,7 @@
 
 
 async def worker(port_file: str) -> None:
-    """Workers that answer at once, several listeners in one process."""
+    """Run workers that answer at once: several listeners in one process."""
     answer = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\nswiftwell-found: warm\r\nswiftwell-held: 1\r\n\r\ndone"
 
     class Protocol(asyncio.Protocol):
@@ -80,22 +79,22 @@
 
 
 async def gateway(site_file: str, choice: str, profile: str) -> None:
-    """The gateway of this measurement."""
+    """Run the measured gateway."""
     from swiftwell.gateway.logs import Logs
     from swiftwell.gateway.shell import Gateway
     from swiftwell.settings.site import load
 
     site = load(Path(site_file))
-    one = Gateway(site, Logs("json", "error"), Anywhere if choice == "random" else None)
-    await one.start()
-    one.on_signals()
+    server = Gateway(site, Logs("json", "error"), RandomChoice if choice == "random" else None)
+    await server.start()
+    server.on_signals()
     if profile:
         import cProfile
 
         profiler = cProfile.Profile(time.thread_time)
         profiler.enable()
-    print(json.dumps({"port": one.listener_port, "health": one.health_port}), flush=True)
-    await one.ended.wait()
+    print(json.dumps({"port": server.listener_port, "health": server.health_port}), flush=True)
+    await server.ended.wait()
     if profile:
         profiler.disable()
         profiler.dump_stats(profile)
@@ -104,46 +103,51 @@
 async def load(
     port: int, rate: float, seconds: float, clients: int, request_class: str, functions: int
 ) -> dict:
-    """Open loop at a rate (0: as fast as a window of calls allows); latencies in ms."""
+    """Publish in an open loop at a rate, or through a window of calls if it is 0; latencies in ms."""
     latencies: list[float] = []
     sent: dict[bytes, float] = {}
     kinds: dict[str, int] = {}
     window = asyncio.Semaphore(256)
 
-    def take(message: Publish) -> None:
-        corr = message.properties["correlation_data"]
+    def on_receive(message: Publish) -> None:
+        correlation = message.properties["correlation_data"]
         kind = dict(message.properties["user"])["status"]
         kinds[kind] = kinds.get(kind, 0) + 1
-        if corr in sent:
-            latencies.append((time.perf_counter() - sent.pop(corr)) * 1e3)
+        if correlation in sent:
+            latencies.append((time.perf_counter() - sent.pop(correlation)) * 1e3)
             window.release()
 
-    crowd = [Client(f"b{n}-{port}", on_message=take, receive=60_000) for n in range(clients)]
-    for one in crowd:
-        await one.connect("127.0.0.1", port)
-    chance, count, began = random.Random(1), 0, time.perf_counter()
-    due = began
-    while time.perf_counter() - began < seconds:
+    publishers = [Client(f"b{n}-{port}", on_message=on_receive, receive=60_000) for n in range(clients)]
+    for publisher in publishers:
+        await publisher.connect("127.0.0.1", port)
+    rng, count, started = random.Random(1), 0, time.perf_counter()
+    due_at = started
+    while time.perf_counter() - started < seconds:
         if rate:
-            due += chance.expovariate(rate)
-            await asyncio.sleep(max(0.0, due - time.perf_counter()))
+            due_at += rng.expovariate(rate)
+            await asyncio.sleep(max(0.0, due_at - time.perf_counter()))
         else:
             await window.acquire()
         count += 1
-        corr = b"%d" % count
-        function = f"f{int(functions ** chance.random()) - 1}"
-        properties = {"response_topic": "a", "correlation_data": corr, "user": [("key", f"{began}-{count}")]}
-        sent[corr] = due if rate else time.perf_counter()  # from when it was due: no coordinated omission
-        crowd[count % clients].publish(
+        correlation = b"%d" % count
+        function = f"f{int(functions ** rng.random()) - 1}"
+        properties = {
+            "response_topic": "a",
+            "correlation_data": correlation,
+            "user": [("key", f"{started}-{count}")],
+        }
+        # Latency counts from the time at which the call was due, to avoid coordinated omission.
+        sent[correlation] = due_at if rate else time.perf_counter()
+        publishers[count % clients].publish(
             Publish(f"calls/t/{request_class}/{function}", b"x" * 100, 1, properties=properties)
         )
-    spent = time.perf_counter() - began
+    spent = time.perf_counter() - started
     for _ in range(200):
         if not sent:
             break
         await asyncio.sleep(0.02)
-    for one in crowd:
-        await one.close()
+    for publisher in publishers:
+        await publisher.close()
     return {
         "per_second": len(latencies) / spent,
         "p50": quantile(latencies, 0.5),
@@ -153,31 +157,31 @@
     }
 
 
-async def spawn(*words: str, core: int | None = None) -> asyncio.subprocess.Process:
-    """One of this file's parts as a process."""
+async def spawn(*arguments: str, core: int | None = None) -> asyncio.subprocess.Process:
+    """Start a subcommand of this file as a process."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.path", *words, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-m", "benchmarks.path", *arguments, stdout=asyncio.subprocess.PIPE
     )
-    cores = ALL
-    # The gateway has its core to itself; workers and publishers share the others.
+    cores = CORES
+    # One core is reserved for the gateway; workers and publishers share the others.
     psutil.Process(process.pid).cpu_affinity(cores[:-1] if core is None else [core])
     return process
 
 
 async def measure(args: argparse.Namespace) -> None:
-    """All of it."""
+    """Measure both choices in turn and print the ratios."""
     with tempfile.TemporaryDirectory() as folder:
         base = Path(folder)
-        parts = []
+        processes = []
         ports: list[int] = []
         for number in range(2):
             file = base / f"ports{number}"
-            parts.append(await spawn("worker", str(file), str(args.workers // 2)))
+            processes.append(await spawn("worker", str(file), str(args.workers // 2)))
             while not file.exists() or not file.read_text():
                 await asyncio.sleep(0.05)
             ports += json.loads(file.read_text())
         workers = "; ".join(f'worker "127.0.0.1:{port}" kind="k"' for port in ports)
-        cores = ALL
+        cores = CORES
         psutil.Process().cpu_affinity(cores[:-1])
         results: dict[tuple[str, str], list[dict]] = {}
         try:
@@ -188,25 +192,25 @@
                     profile = str(base / "profile") if args.profile and choice == "module" else ""
                     process = await spawn("gateway", str(site), choice, profile, core=cores[-1])
                     assert process.stdout
-                    told = json.loads(await process.stdout.readline())
-                    await load(told["port"], 100, 2, 8, "lectura", args.functions)  # warm
+                    ports_message = json.loads(await process.stdout.readline())
+                    await load(ports_message["port"], 100, 2, 8, "lectura", args.functions)  # warm-up
                     for name, rate, request_class in LOADS:
-                        found = await load(
-                            told["port"], rate, args.seconds, 16, request_class, args.functions
+                        result = await load(
+                            ports_message["port"], rate, args.seconds, 16, request_class, args.functions
                         )
-                        results.setdefault((choice, name), []).append(found)
+                        results.setdefault((choice, name), []).append(result)
                         print(
                             choice,
                             name,
-                            {k: round(v, 2) if isinstance(v, float) else v for k, v in found.items()},
+                            {k: round(v, 2) if isinstance(v, float) else v for k, v in result.items()},
                         )
                     process.terminate()
                     await process.wait()
                     if profile:
                         report(profile)
         finally:
-            for part in parts:
-                part.kill()
+            for process in processes:
+                process.kill()
         for name in ("fastest", "at 640", "unsafe at 200"):
             a, b = results["module", name], results["random", name]
             for key in ("per_second", "p50", "p99"):
@@ -215,17 +219,17 @@
 
 
 def report(profile: str) -> None:
-    """Own time by part, in microseconds a call."""
+    """Print the self time by file and by function, in microseconds per call."""
     import pstats
 
     stats = pstats.Stats(profile)
     # type: ignore[attr-defined]
     calls = max(1, sum(v[0] for k, v in stats.stats.items() if k[2] == "_arrive"))
-    parts: dict[str, float] = {}
+    time_by_file: dict[str, float] = {}
     for (file, _, _), (_, _, own, _, _) in stats.stats.items():  # type: ignore[attr-defined]
         name = file.split("/")[-1] if "swiftwell" in file else "python and tornado"
-        parts[name] = parts.get(name, 0.0) + own
-    for name, own in sorted(parts.items(), key=lambda item: -item[1])[:14]:
+        time_by_file[name] = time_by_file.get(name, 0.0) + own
+    for name, own in sorted(time_by_file.items(), key=lambda item: -item[1])[:14]:
         print(f"  {name:22} {own / calls * 1e6:8.1f} us a call")
     top = sorted(stats.stats.items(), key=lambda item: -item[1][2])[:16]  # type: ignore[attr-defined]
     for (file, line, name), (count, _, own, _, _) in top:
