--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,6 +1,7 @@
-"""Start without discovery: service and first answer by age of the saved list and share of wrong entries,
-against no list, the list believed blindly, and a live one.  Whole days through real sockets, the list away
-for all of them.
+"""Start without discovery: service and first answer by age of the saved list and share of wrong entries.
+
+Compares with no list, a saved list that is trusted blindly, and a live list.  Each run is a whole day over
+real sockets, without discovery except for the live list.
 
     python -m benchmarks.cold [--seeds 10] [--seconds 12] [--jobs 5] [--out docs/figures/cold.png]
 """
@@ -16,54 +17,54 @@
 
 from swiftwell.proof import days
 
-AGES = (60.0, 3_600.0, 86_400.0, 864_000.0)
-WRONG = (0.0, 0.3, 0.9)
+AGES_S = (60.0, 3_600.0, 86_400.0, 864_000.0)
+WRONG_SHARES = (0.0, 0.3, 0.9)
 
 
-def text(mode: str, age: float, wrong: float, seconds: float) -> str:
-    """The day cold-morning with these in place of its own."""
+def day_text(mode: str, age: float, wrong: float, seconds: float) -> str:
+    """Return the day cold-morning with these settings instead of its own."""
     base = (days.folder() / "cold-morning.kdl").read_text().split("\n")
     drop = ("saved", "list-down-s", "seconds", "doc")
     kept = [line for line in base if not line.startswith(drop)]
     down = 0.0 if mode == "live" else seconds + 60
     saved = "none" if mode == "live" else mode
-    head = [f"seconds {seconds}", f'saved "{saved}"', f"saved-age-s {age}", f"saved-wrong {wrong}"]
-    return "\n".join(['doc "start"', *head, f"list-down-s {down}", *kept])
+    header = [f"seconds {seconds}", f'saved "{saved}"', f"saved-age-s {age}", f"saved-wrong {wrong}"]
+    return "\n".join(['doc "start"', *header, f"list-down-s {down}", *kept])
 
 
-async def one(gate: asyncio.Semaphore, folder: Path, name: str, day: str, seed: int) -> dict | None:
-    """One day; its verdict."""
+async def run_day(limit: asyncio.Semaphore, folder: Path, name: str, day_text: str, seed: int) -> dict | None:
+    """Run one day and return its verdict, or None if it printed none."""
     path = folder / f"{name}.kdl"
-    path.write_text(day)
-    async with gate:
-        words = ("-m", "swiftwell", "day", "run", str(path), "--seed", str(seed), "--json")
+    path.write_text(day_text)
+    async with limit:
+        command = ("-m", "swiftwell", "day", "run", str(path), "--seed", str(seed), "--json")
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL
+            sys.executable, *command, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL
         )
-        out, _ = await process.communicate()
-    return json.loads(out) if out else None
+        stdout, _ = await process.communicate()
+    return json.loads(stdout) if stdout else None
 
 
 async def measure(args: argparse.Namespace) -> dict[str, dict]:
-    """All cells."""
+    """Run all combinations of mode, age and share of wrong entries."""
     folder = Path(args.work)
     folder.mkdir(parents=True, exist_ok=True)
-    cells = [("trust", age, wrong) for age in AGES for wrong in WRONG]
-    cells += [("blind", 86_400.0, wrong) for wrong in WRONG]
-    cells += [("none", 0.0, 0.0), *(("live", 0.0, wrong) for wrong in WRONG)]
-    gate = asyncio.Semaphore(args.jobs)
+    cells = [("trust", age, wrong) for age in AGES_S for wrong in WRONG_SHARES]
+    cells += [("blind", 86_400.0, wrong) for wrong in WRONG_SHARES]
+    cells += [("none", 0.0, 0.0), *(("live", 0.0, wrong) for wrong in WRONG_SHARES)]
+    limit = asyncio.Semaphore(args.jobs)
     results = {}
     names = [f"{mode}-{age:g}-{wrong:g}" for mode, age, wrong in cells]
     runs = await asyncio.gather(
         *(
-            one(gate, folder, name, text(*cell, args.seconds), seed)
+            run_day(limit, folder, name, day_text(*cell, args.seconds), seed)
             for name, cell in zip(names, cells, strict=True)
             for seed in range(1, args.seeds + 1)
         )
     )
     for number, name in enumerate(names):
         found = [run for run in runs[number * args.seeds : (number + 1) * args.seeds] if run]
-        # A live list's day has no `start` of its own: its service is that of the whole day.
+        # A day with a live list has no `start`: its service is that of the whole day.
         service = [run["worth"]["answered_in_time"] / max(1e-9, run["worth"]["asked"]) for run in found]
         starts = [run.get("start", {}) for run in found]
         first = [s["first_served_s"] for s in starts if s.get("first_served_s") is not None]
@@ -74,7 +75,7 @@
             "first_s": round(statistics.median(first), 3) if first else None,
             "work_at_drained": round(statistics.mean(s.get("work_at_drained", 0) for s in starts), 1),
             "broken": sum(not run["rules_kept"] for run in found),
-            "breaches": [text for run in found for text in run["breaches"]][:2],
+            "breaches": [breach for run in found for breach in run["breaches"]][:2],
         }
         print(name, results[name], flush=True)
     return results
@@ -87,7 +88,7 @@
     parser.add_argument("--jobs", type=int, default=5)
     parser.add_argument("--work", default="/tmp/cold-days")
     parser.add_argument("--out", default="")
-    given = parser.parse_args()
-    found = asyncio.run(measure(given))
-    if given.out:
-        Path(given.out).write_text(json.dumps(found, indent=1) + "\n")
+    parsed = parser.parse_args()
+    found = asyncio.run(measure(parsed))
+    if parsed.out:
+        Path(parsed.out).write_text(json.dumps(found, indent=1) + "\n")
--- a/benchmarks/plot_cold.py
+++ b/benchmarks/plot_cold.py
@@ -1,4 +1,4 @@
-"""Plots what benchmarks/cold.py measured: python -m benchmarks.plot_cold RESULTS.json OUT.png"""
+"""Plots the results of benchmarks/cold.py: python -m benchmarks.plot_cold RESULTS.json OUT.png"""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
 
-NAMES = {60: "1 min", 3_600: "1 h", 86_400: "1 day", 864_000: "10 days"}
+AGE_LABELS = {60: "1 min", 3_600: "1 h", 86_400: "1 day", 864_000: "10 days"}
 
 
 def main(source: str, target: str) -> None:
-    """Service in time against the share of wrong entries, one line for each age and way."""
-    found = json.loads(Path(source).read_text())
+    """Plot the service in time by the share of wrong entries, one line per mode and age."""
+    results = json.loads(Path(source).read_text())
     figure, axes = plt.subplots(figsize=(7, 4.2))
     for mode, age, style in [
         ("live", 0, "k-"),
-        *(("trust", age, "o-") for age in NAMES),
+        *(("trust", age, "o-") for age in AGE_LABELS),
         ("blind", 86_400, "x--"),
     ]:
         label = (
-            f"saved list, {NAMES[age]}"
+            f"saved list, {AGE_LABELS[age]}"
             if mode == "trust"
             else {"live": "live list", "blind": "believed blindly"}[mode]
         )
-        rows = [(w, found.get(f"{mode}-{age:g}-{w:g}")) for w in (0.0, 0.3, 0.9)]
+        rows = [(w, results.get(f"{mode}-{age:g}-{w:g}")) for w in (0.0, 0.3, 0.9)]
         points = [(w, row["service"]) for w, row in rows if row]
         axes.plot([w for w, _ in points], [s for _, s in points], style, label=label)
-    axes.axhline(found["none-0-0"]["service"], color="grey", linestyle=":", label="no list")
+    axes.axhline(results["none-0-0"]["service"], color="grey", linestyle=":", label="no list")
     axes.set_xlabel("share of saved entries that are wrong")
     axes.set_ylabel("worth answered in time, first 12 s")
     axes.set_ylim(-0.03, 1.03)
