--- a/benchmarks/amqp_codec.py
+++ b/benchmarks/amqp_codec.py
@@ -1,9 +1,9 @@
-"""AMQP codec beside pika's, on the same bytes in the same run: MB/s of reading and of writing.
+"""Compares our AMQP codec with that of pika on the same bytes in one run: MB/s of decoding and encoding.
 
     python benchmarks/amqp_codec.py [rounds]
 
-Traffic: deliveries with the headers of a trigger and a body of 200 bytes (and of 20,000), acknowledgements.
-Runs in turn and keeps the best of each; a machine's noise only ever makes a run slower.
+The traffic is acknowledgements, and deliveries with the headers of a trigger and 200 or 20,000 bytes of body.
+The codecs run in turn and the fastest run of each counts, as noise of the machine only makes a run slower.
 """
 
 from __future__ import annotations
@@ -19,64 +19,67 @@
 from swiftwell.fronts.amqp.codec import Properties
 from swiftwell.fronts.amqp.wire import Wire
 
-MOST = 131_072
+MAX_FRAME_BYTES = 131_072
 HEADERS = {"key": "valve-000123", "timeout-ms": 2500, "sent-ms": 1796131676233, "attempt": 1}
 
 
-def ours_write(body: bytes, count: int) -> bytes:
+def encode_ours(body: bytes, count: int) -> bytes:
     properties = Properties(
         headers=HEADERS, delivery_mode=2, correlation_id="q1", reply_to="answers/x", expiration="2500"
     )
-    out = []
+    chunks = []
     for number in range(count):
         deliver = codec.Deliver("gw-0", number + 1, False, "calls", "calls.estate.consigna.heat.f")
-        out.append(codec.encode_content(1, deliver, properties, body, MOST))
-        out.append(codec.encode(1, codec.Ack(number + 1)))
-    return b"".join(out)
+        chunks.append(codec.encode_content(1, deliver, properties, body, MAX_FRAME_BYTES))
+        chunks.append(codec.encode(1, codec.Ack(number + 1)))
+    return b"".join(chunks)
 
 
-def pika_write(body: bytes, count: int) -> bytes:
+def encode_pika(body: bytes, count: int) -> bytes:
     properties = pika.BasicProperties(
         headers=HEADERS, delivery_mode=2, correlation_id="q1", reply_to="answers/x", expiration="2500"
     )
-    out = []
+    chunks = []
     for number in range(count):
         deliver = pika.spec.Basic.Deliver("gw-0", number + 1, False, "calls", "calls.estate.consigna.heat.f")
-        out.append(frame.Method(1, deliver).marshal())
-        out.append(frame.Header(1, len(body), properties).marshal())
-        room = MOST - 8
-        out += [frame.Body(1, body[at : at + room]).marshal() for at in range(0, len(body), room)]
-        out.append(frame.Method(1, pika.spec.Basic.Ack(number + 1)).marshal())
-    return b"".join(out)
-
-
-def ours_read(raw: bytes) -> int:
-    wire, found = Wire(MOST, 1 << 24), 0
-    for at in range(0, len(raw), 65_536):
-        found += len(wire.feed(raw[at : at + 65_536]))
-    return found
-
-
-def pika_read(raw: bytes) -> int:
-    """As its connection does: a buffer, frame by frame."""
-    buffer, found = b"", 0
-    for at in range(0, len(raw), 65_536):
-        buffer += raw[at : at + 65_536]
+        chunks.append(frame.Method(1, deliver).marshal())
+        chunks.append(frame.Header(1, len(body), properties).marshal())
+        max_payload = MAX_FRAME_BYTES - 8
+        chunks += [
+            frame.Body(1, body[offset : offset + max_payload]).marshal()
+            for offset in range(0, len(body), max_payload)
+        ]
+        chunks.append(frame.Method(1, pika.spec.Basic.Ack(number + 1)).marshal())
+    return b"".join(chunks)
+
+
+def decode_ours(raw: bytes) -> int:
+    wire, count = Wire(MAX_FRAME_BYTES, 1 << 24), 0
+    for offset in range(0, len(raw), 65_536):
+        count += len(wire.feed(raw[offset : offset + 65_536]))
+    return count
+
+
+def decode_pika(raw: bytes) -> int:
+    """Decode as a pika connection does: from a buffer, frame by frame."""
+    buffer, count = b"", 0
+    for offset in range(0, len(raw), 65_536):
+        buffer += raw[offset : offset + 65_536]
         while buffer:
-            size, one = frame.decode_frame(buffer)
-            if one is None:
+            size, decoded = frame.decode_frame(buffer)
+            if decoded is None:
                 break
             buffer = buffer[size:]
-            found += isinstance(one, frame.Method)
-    return found
+            count += isinstance(decoded, frame.Method)
+    return count
 
 
-def best(act: Callable[[], object], rounds: int) -> float:
+def fastest_s(run: Callable[[], object], rounds: int) -> float:
     times = []
     for _ in range(rounds):
-        began = time.perf_counter()
-        act()
-        times.append(time.perf_counter() - began)
+        started = time.perf_counter()
+        run()
+        times.append(time.perf_counter() - started)
     return min(times)
 
 
@@ -85,24 +88,25 @@
     for size, count in ((200, 3_000), (20_000, 400)):
         body = bytes(range(256)) * (size // 256 + 1)
         body = body[:size]
-        raw = ours_write(body, count)
-        assert raw == pika_write(body, count), "the same messages are the same bytes"
-        assert ours_read(raw) == pika_read(raw) == 2 * count
+        raw = encode_ours(body, count)
+        assert raw == encode_pika(body, count), "both codecs must encode the messages to the same bytes"
+        assert decode_ours(raw) == decode_pika(raw) == 2 * count
         row = {}
-        for _ in range(2):  # in turn, so that both meet the machine's same minute
-            for name, act in (
-                ("read, ours", lambda raw=raw: ours_read(raw)),
-                ("read, pika", lambda raw=raw: pika_read(raw)),
-                ("write, ours", lambda body=body, count=count: ours_write(body, count)),
-                ("write, pika", lambda body=body, count=count: pika_write(body, count)),
+        for _ in range(2):  # alternate, so that both run under the same load of the machine
+            for name, run in (
+                ("read, ours", lambda raw=raw: decode_ours(raw)),
+                ("read, pika", lambda raw=raw: decode_pika(raw)),
+                ("write, ours", lambda body=body, count=count: encode_ours(body, count)),
+                ("write, pika", lambda body=body, count=count: encode_pika(body, count)),
             ):
-                taken = best(act, rounds)
-                row[name] = max(row.get(name, 0.0), len(raw) / taken / 1e6)
-        told = ", ".join(f"{name} {value:.1f} MB/s" for name, value in row.items())
+                seconds = fastest_s(run, rounds)
+                row[name] = max(row.get(name, 0.0), len(raw) / seconds / 1e6)
+        rates = ", ".join(f"{name} {value:.1f} MB/s" for name, value in row.items())
         ratio = ", ".join(
-            f"{what} {row[f'{what}, ours'] / row[f'{what}, pika']:.2f}" for what in ("read", "write")
+            f"{direction} {row[f'{direction}, ours'] / row[f'{direction}, pika']:.2f}"
+            for direction in ("read", "write")
         )
-        print(f"{count} messages of {size} bytes ({len(raw)} in all): {told}; ours against pika's: {ratio}")
+        print(f"{count} messages of {size} bytes ({len(raw)} in all): {rates}; ours against pika's: {ratio}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,4 +1,4 @@
-"""Memory of one gateway with 5,000 idle connections, and with 10,000 calls held (no worker is there).
+"""Memory of one gateway with 5,000 idle connections, and with 10,000 queued calls (there is no worker).
 
 python -m benchmarks.idle [--connections 5000] [--calls 10000]
 """
@@ -31,7 +31,7 @@
 
 
 async def measure(connections: int, calls: int) -> None:
-    """Resident memory before and after."""
+    """Print the growth of resident memory per idle connection and per queued call."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 65_536), hard))
     with tempfile.TemporaryDirectory() as folder:
@@ -41,8 +41,8 @@
         process = await spawn("gateway", str(base / "s.kdl"), "module", "")
         assert process.stdout
         port = json.loads(await process.stdout.readline())["port"]
-        seen = psutil.Process(process.pid)
-        start = seen.memory_info().rss
+        gateway_process = psutil.Process(process.pid)
+        rss_at_start = gateway_process.memory_info().rss
         streams = []
         for number in range(connections):
             streams.append(await asyncio.open_connection("127.0.0.1", port))
@@ -50,18 +50,18 @@
         for reader, _ in streams:
             await reader.read(100)
         await asyncio.sleep(1)
-        idle = seen.memory_info().rss
-        cpu = seen.cpu_times().user
+        rss_idle = gateway_process.memory_info().rss
+        cpu = gateway_process.cpu_times().user
         await asyncio.sleep(5)
-        busy = (seen.cpu_times().user - cpu) / 5
+        busy = (gateway_process.cpu_times().user - cpu) / 5
         print(
-            f"{connections} idle connections: {(idle - start) / connections / 1024:.1f} KiB each, "
+            f"{connections} idle connections: {(rss_idle - rss_at_start) / connections / 1024:.1f} KiB each, "
             f"{busy:.1%} of a core"
         )
         console = Client("console", receive=60_000)
         await console.connect("127.0.0.1", port)
-        before = seen.memory_info().rss
-        began = time.perf_counter()
+        before = gateway_process.memory_info().rss
+        started = time.perf_counter()
         for number in range(calls):
             properties = {"response_topic": "a", "correlation_data": b"%d" % number}
             topic = f"calls/t/lectura/f{number % 50}"
@@ -69,10 +69,10 @@
             if number % 200 == 0:
                 await asyncio.sleep(0.05)
         await asyncio.sleep(3)
-        held = seen.memory_info().rss
+        rss_with_calls = gateway_process.memory_info().rss
         print(
-            f"{calls} calls held: {(held - before) / calls / 1024:.2f} KiB each, "
-            f"{time.perf_counter() - began:.1f} s"
+            f"{calls} calls held: {(rss_with_calls - before) / calls / 1024:.2f} KiB each, "
+            f"{time.perf_counter() - started:.1f} s"
         )
         process.kill()
 
@@ -81,5 +81,5 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--connections", type=int, default=5_000)
     parser.add_argument("--calls", type=int, default=10_000)
-    given = parser.parse_args()
-    asyncio.run(measure(given.connections, given.calls))
+    args = parser.parse_args()
+    asyncio.run(measure(args.connections, args.calls))
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,4 +1,4 @@
-"""Commits a second: our journal with group commit, SQLite in WAL mode in groups and alone, on this disk."""
+"""Commits per second on this disk: our journal with group commit, and SQLite in WAL mode, by group size."""
 
 from __future__ import annotations
 
@@ -16,47 +16,49 @@
 
 
 def record(number: int) -> Record:
-    """A record of usual size."""
+    """Return a record of typical size."""
     return Record(Step.INTENT, "estate", f"console-{number}", 1_700_000_000_000_000 + number, b"d" * 16)
 
 
 def journal(folder: Path, group: int) -> float:
-    """Durable records a second, `group` arriving in each turn of the loop."""
-    more = threading.Semaphore(0)
-    posts: list = []
-    one = Journal(folder, lambda act: (posts.append(act), more.release()), lambda n: None, print, list)
-    one.open()
-    count, began = 0, time.perf_counter()
-    while time.perf_counter() - began < SECONDS:
+    """Return the durable records per second with `group` records per iteration of the loop."""
+    flushed = threading.Semaphore(0)
+    callbacks: list = []
+    writer = Journal(
+        folder, lambda callback: (callbacks.append(callback), flushed.release()), lambda n: None, print, list
+    )
+    writer.open()
+    count, started = 0, time.perf_counter()
+    while time.perf_counter() - started < SECONDS:
         for _ in range(group):
             count += 1
-            one.append(record(count))
-        one.flush()
-        more.acquire()
-        posts.pop(0)()
-    spent = time.perf_counter() - began
-    one.close()
+            writer.append(record(count))
+        writer.flush()
+        flushed.acquire()
+        callbacks.pop(0)()
+    spent = time.perf_counter() - started
+    writer.close()
     return count / spent
 
 
 def sqlite(folder: Path, group: int) -> float:
-    """The same in SQLite, WAL, synchronous FULL."""
+    """Return the same for SQLite in WAL mode with synchronous=FULL."""
     db = sqlite3.connect(folder / "l.db", isolation_level=None)
     db.execute("pragma journal_mode=wal")
     db.execute("pragma synchronous=full")
     db.execute(
         "create table keys (tenant text, key text, at int, step text, print blob, primary key (tenant, key))"
     )
-    count, began = 0, time.perf_counter()
-    while time.perf_counter() - began < SECONDS:
+    count, started = 0, time.perf_counter()
+    while time.perf_counter() - started < SECONDS:
         db.execute("begin")
         for _ in range(group):
             count += 1
-            r = record(count)
-            values = (r.tenant, r.key, r.at_us, r.step.value, r.request_digest)
+            entry = record(count)
+            values = (entry.tenant, entry.key, entry.at_us, entry.step.value, entry.request_digest)
             db.execute("insert or replace into keys values (?, ?, ?, ?, ?)", values)
         db.execute("commit")
-    spent = time.perf_counter() - began
+    spent = time.perf_counter() - started
     db.close()
     return count / spent
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,5 +1,6 @@
-"""Timer wheel against timer heap at 100,000 pending timers, as the engine uses them: most are cancelled
-before they are due.
+"""Compares the timer wheel with the timer heap at 100,000 pending timers, in the usage of the engine.
+
+Most timers are cancelled before they are due.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 
 
 def run(timers: TimerHeap | TimerWheel) -> float:
-    """Microseconds for one timer: set, and taken back (nine of ten) or come due."""
-    chance = random.Random(1)
-    now, live = 0, []
+    """Return microseconds per timer: it is set, and then cancelled (nine in ten) or due."""
+    rng = random.Random(1)
+    now, handles = 0, []
     for number in range(PENDING):
-        live.append(timers.add(now + chance.randrange(2_500_000), number))
-    began = time.perf_counter()
+        handles.append(timers.add(now + rng.randrange(2_500_000), number))
+    started = time.perf_counter()
     for number in range(ROUNDS):
         now += 10
-        live.append(timers.add(now + 2_500_000, number))
-        at = chance.randrange(len(live))
-        live[at], live[-1] = live[-1], live[at]
-        one = live.pop()
+        handles.append(timers.add(now + 2_500_000, number))
+        index = rng.randrange(len(handles))
+        handles[index], handles[-1] = handles[-1], handles[index]
+        handle = handles.pop()
         if number % 10:
-            timers.cancel(one)
+            timers.cancel(handle)
         if number % 50 == 0:
             timers.due(now)
             timers.next_us()
-    return (time.perf_counter() - began) / ROUNDS * 1e6
+    return (time.perf_counter() - started) / ROUNDS * 1e6
 
 
 if __name__ == "__main__":
