--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -224,7 +224,7 @@
 
     stats = pstats.Stats(profile)
     # type: ignore[attr-defined]
-    calls = max(1, sum(v[0] for k, v in stats.stats.items() if k[2] == "_arrive"))
+    calls = max(1, sum(v[0] for k, v in stats.stats.items() if k[2] == "_on_arrive"))
     time_by_file: dict[str, float] = {}
     for (file, _, _), (_, _, own, _, _) in stats.stats.items():  # type: ignore[attr-defined]
         name = file.split("/")[-1] if "swiftwell" in file else "python and tornado"
