--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,7 +37,7 @@
 from swiftwell.fleet.members import Status
 from swiftwell.fleet.node import FleetSettings
 from swiftwell.fleet.shares import RESERVED_PPM, TOTAL_PPM
-from swiftwell.lab.town import Town
+from swiftwell.lab.simulated_fleet import SimulatedFleet
 from swiftwell.lab.zone import Zone
 from swiftwell.proof import days
 from swiftwell.proof.runner import Player
@@ -413,7 +413,7 @@
     out = []
     for size in args.sizes:
         for loss in (0.0, 0.1, 0.3):
-            began, town = time.monotonic(), Town(size, 1, term_us=5_000_000, period_us=1_000_000)
+            began, town = time.monotonic(), SimulatedFleet(size, 1, term_us=5_000_000, period_us=1_000_000)
             town.loss = loss
             town.run(12 + size / 20)
             false = sum(node.members.counts["died"] for node in town.nodes)
--- a/swiftwell/lab/zone.py
+++ b/swiftwell/lab/zone.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable, Collection, Iterable
 
-from swiftwell.lab.town import Town
+from swiftwell.lab.simulated_fleet import SimulatedFleet
 from swiftwell.starting.list_reader import QueryMode
 from swiftwell.starting.zone import ZoneList
 
 SECOND = 1_000_000  # us
 
 
-class Zone(Town):
+class Zone(SimulatedFleet):
     """`size` nodes of one zone, of whom those `present` run; `rows` is the list at the service."""
 
     def __init__(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
     unpack,
 )
 from swiftwell.fleet.shares import RESERVED_PPM, TOTAL_PPM, Lender, Share
-from swiftwell.lab.town import Town
+from swiftwell.lab.simulated_fleet import SimulatedFleet
 from swiftwell.proof.explore import FAST, SCALE, SLOW, EpochModel, LeaseModel, Scope, ShareModel, replay, walk
 
 FIRST_HOLDS = (
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("size, loss", [(5, 0.0), (30, 0.1)])
 def test_dead_members_are_detected_by_all_and_live_ones_are_not_taken_for_dead(size, loss):
-    fleet = Town(size, period_us=500_000)
+    fleet = SimulatedFleet(size, period_us=500_000)
     fleet.loss = loss
     fleet.run(12)
     assert all(fleet.alive(me) == set(range(size)) for me in range(size))
@@ -222,7 +222,7 @@
 def test_what_a_member_sends_does_not_grow_with_the_fleet():
     rates = []
     for size in (10, 80):
-        fleet = Town(size, period_us=500_000)
+        fleet = SimulatedFleet(size, period_us=500_000)
         fleet.run(8)
         fleet.sent = 0
         fleet.run(10)
@@ -231,7 +231,7 @@
 
 
 def test_a_paused_member_declares_nobody_dead_and_soon_counts_as_alive_again():
-    fleet = Town(8, period_us=500_000)
+    fleet = SimulatedFleet(8, period_us=500_000)
     fleet.run(6)
     fleet.run(12, stopped={3})
     assert all(3 not in fleet.alive(me) for me in range(8) if me != 3)
@@ -243,20 +243,20 @@
 
 
 def test_nobody_is_declared_dead_at_a_one_way_cut_while_others_relay_pings():
-    fleet = Town(6, period_us=500_000)
+    fleet = SimulatedFleet(6, period_us=500_000)
     fleet.run(6)
-    fleet.cut = {(0, 1)}  # 1 receives nothing from 0
+    fleet.blocked_links = {(0, 1)}  # 1 receives nothing from 0
     fleet.run(20)
     assert all(fleet.alive(me) == set(range(6)) for me in range(6))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_shares_never_exceed_their_budget_and_loans_of_dead_members_return(seed):
-    fleet = Town(6, seed, budgets=("cold",), period_us=500_000)
+    fleet = SimulatedFleet(6, seed, budgets=("cold",), period_us=500_000)
     worst = []
 
     def record_use():
-        fleet.chance.random()
+        fleet.random.random()
         used = sum(
             node.shares["cold"].ppm(fleet.now) for me, node in enumerate(fleet.nodes) if me not in fleet.down
         )
@@ -273,16 +273,19 @@
     assert not can_agree or max(worst[-100:]) > 0.9 * available  # a loan may expire as datagrams are lost
     for me in sorted(fleet.down):
         fleet.restart(me, 2_000)
-    fleet.down, fleet.cut = set(), {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
+    fleet.down, fleet.blocked_links = (
+        set(),
+        {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)},
+    )
     fleet.run(10, record_use)
-    fleet.cut, fleet.loss = set(), 0.0
+    fleet.blocked_links, fleet.loss = set(), 0.0
     fleet.run(12, record_use)
     assert max(worst) <= TOTAL_PPM and worst[-1] > 0.9 * TOTAL_PPM
 
 
 def test_members_of_a_fleet_that_cannot_agree_have_their_reserved_shares():
-    fleet = Town(5, budgets=("cold",))
-    fleet.cut = {(a, b) for a in range(5) for b in range(5) if a != b}
+    fleet = SimulatedFleet(5, budgets=("cold",))
+    fleet.blocked_links = {(a, b) for a in range(5) for b in range(5) if a != b}
     fleet.run(10)
     assert all(node.shares["cold"].ppm(fleet.now) == RESERVED_PPM // 5 for node in fleet.nodes)
 
@@ -301,7 +304,7 @@
 
 
 def test_floods_and_invalid_datagrams_are_counted_and_dropped():
-    fleet = Town(3)
+    fleet = SimulatedFleet(3)
     node = fleet.nodes[0]
     raw = pack(Datagram(1, 1, 1_000, [Ping(1)]))
     node.step(fleet.now, [raw] * 2_000)
