--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -454,12 +454,12 @@
             zone.loss, start, every = loss, zone.now, None
             there = [me for me in zone.group if me not in zone.down]
             while every is None and zone.now - start < 60_000_000:
-                zone.go(0.1)
-                every = (zone.now - start) / 1e6 if all(map(zone.has, there)) else None
-            zone.go(4)
+                zone.advance(0.1)
+                every = (zone.now - start) / 1e6 if all(map(zone.is_current, there)) else None
+            zone.advance(4)
             row = {
                 "trial": "start, virtual", "gateways": size, "loss": loss, "present": present,
-                "asked": len(zone.asked), "most_in_a_second": zone.worst_second(),
+                "asked": len(zone.queries), "most_in_a_second": zone.max_queries_per_second(),
                 "all_have_it_s": round(every, 1) if every else None, "readers": len(zone.readers()),
                 "datagrams_a_s": round(zone.sent / len(there) / ((zone.now - start) / 1e6), 1),
                 "took_s": round(time.monotonic() - began, 1),
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -30,66 +30,66 @@
 def test_when_all_start_at_once_few_query_the_list_service(size, loss):
     zone = Zone(size)
     zone.loss = loss
-    zone.go(3 + 40 * loss)
-    assert all(zone.has(me) for me in zone.group)
-    assert zone.worst_second() <= 4 and len(zone.asked) <= 7
-    zone.go(5)
-    assert len(zone.readers()) == 1 and len(zone.asked) <= 8
+    zone.advance(3 + 40 * loss)
+    assert all(zone.is_current(me) for me in zone.group)
+    assert zone.max_queries_per_second() <= 4 and len(zone.queries) <= 7
+    zone.advance(5)
+    assert len(zone.readers()) == 1 and len(zone.queries) <= 8
     reader = zone.readers()[0]
     assert zone.nodes[reader].writer_lease("list").holds(zone.now)
     # A change reaches every router soon after the reader has it; lost datagrams delay it by the repeats.
-    zone.rows = dict(list(zone.rows.items())[3:]) | {"127.0.0.1:9": b"new"}
-    zone.go(2 + 20 * loss)  # a simulated step takes fifty times as long as a real one
-    assert all(zone.has(me) for me in zone.group)
+    zone.service_list = dict(list(zone.service_list.items())[3:]) | {"127.0.0.1:9": b"new"}
+    zone.advance(2 + 20 * loss)  # a simulated step takes fifty times as long as a real one
+    assert all(zone.is_current(me) for me in zone.group)
 
 
 @pytest.mark.parametrize("failure", ["killed", "stopped", "partitioned", "receives nothing", "service"])
 def test_when_the_reader_falls_silent_another_takes_over(failure):
     zone = Zone(20, seed=3)
-    zone.go(8)
+    zone.advance(8)
     (reader,) = zone.readers()
     others = set(zone.group) - {reader}
-    stopped, queries_before = (), len(zone.asked)
+    stopped, queries_before = (), len(zone.queries)
     match failure:
         case "killed":
             zone.down = {reader}
         case "stopped":
             stopped = {reader}
         case "partitioned":
-            zone.cut = {pair for other in others for pair in ((reader, other), (other, reader))}
+            zone.blocked_links = {pair for other in others for pair in ((reader, other), (other, reader))}
         case "receives nothing":
-            zone.cut = {(other, reader) for other in others}
+            zone.blocked_links = {(other, reader) for other in others}
         case "service":
-            zone.held -= {reader}
-    zone.go(1, stopped=stopped)
-    zone.rows = dict(list(zone.rows.items())[1:])
-    zone.go(7, stopped=stopped)
-    assert all(zone.has(me) for me in others)
-    queries = [query for query in zone.asked[queries_before:] if query[1] != reader]
+            zone.can_reach_service -= {reader}
+    zone.advance(1, stopped=stopped)
+    zone.service_list = dict(list(zone.service_list.items())[1:])
+    zone.advance(7, stopped=stopped)
+    assert all(zone.is_current(me) for me in others)
+    queries = [query for query in zone.queries[queries_before:] if query[1] != reader]
     assert 1 <= len(queries) <= 6
-    zone.cut, zone.down, zone.held = set(), set(), set(zone.group)
+    zone.blocked_links, zone.down, zone.can_reach_service = set(), set(), set(zone.group)
     if failure == "killed":
-        zone.again(reader)
-    zone.go(8)
-    assert all(zone.has(me) for me in zone.group) and len(zone.readers()) == 1
+        zone.restart_empty(reader)
+    zone.advance(8)
+    assert all(zone.is_current(me) for me in zone.group) and len(zone.readers()) == 1
 
 
 def test_the_query_rate_is_bounded_while_the_service_is_down_and_when_it_returns():
     zone = Zone(60, seed=5)
-    zone.up = False
-    zone.go(20)
-    assert 30 <= len(zone.asked) <= 90 and zone.worst_second() <= 8
-    assert len({me for _, me, _ in zone.asked}) > 30  # many routers take turns
-    zone.up, queries_before = True, len(zone.asked)
-    zone.go(3)
-    assert all(zone.has(me) for me in zone.group) and len(zone.asked) - queries_before <= 8
+    zone.service_up = False
+    zone.advance(20)
+    assert 30 <= len(zone.queries) <= 90 and zone.max_queries_per_second() <= 8
+    assert len({me for _, me, _ in zone.queries}) > 30  # many routers take turns
+    zone.service_up, queries_before = True, len(zone.queries)
+    zone.advance(3)
+    assert all(zone.is_current(me) for me in zone.group) and len(zone.queries) - queries_before <= 8
 
 
 def test_an_isolated_router_queries_as_it_would_without_a_fleet():
     zone = Zone(8)
-    zone.cut = {(a, b) for a in zone.group for b in zone.group if a != b}
-    zone.go(4)
-    assert all(zone.has(me) for me in zone.group)
+    zone.blocked_links = {(a, b) for a in zone.group for b in zone.group if a != b}
+    zone.advance(4)
+    assert all(zone.is_current(me) for me in zone.group)
     assert (
         ListReader(0, (0,), "list", 3.0, SECOND, 0).step(0, False, LogView(0, True, None, 0, 0))
         is QueryMode.ISOLATED
@@ -98,13 +98,13 @@
 
 def test_nine_of_ten_routers_never_start_and_one_restarts_repeatedly():
     zone = Zone(100, present=range(0, 100, 10))
-    zone.go(20)
-    assert all(zone.has(me) for me in range(0, 100, 10)) and zone.worst_second() <= 5
-    queries_before = len(zone.asked)
+    zone.advance(20)
+    assert all(zone.is_current(me) for me in range(0, 100, 10)) and zone.max_queries_per_second() <= 5
+    queries_before = len(zone.queries)
     for _ in range(30):
-        zone.again(30)
-        zone.go(1)
-    assert zone.has(30) and len(zone.asked) - queries_before <= 12
+        zone.restart_empty(30)
+        zone.advance(1)
+    assert zone.is_current(30) and len(zone.queries) - queries_before <= 12
 
 
 @pytest.mark.parametrize("size, step, rate", [(30, 10, 1.5), (60, 10, 3.0), (200, 4, 3.0)])
@@ -114,28 +114,28 @@
     for seed in range(1, 6):
         present = range(seed % step, size, step)
         zone = Zone(size, seed=seed, rate=rate, present=present)
-        while not all(zone.has(me) for me in present):
-            zone.go(0.25)
+        while not all(zone.is_current(me) for me in present):
+            zone.advance(0.25)
             slowest = max(slowest, zone.now / SECOND)
             assert slowest < 5.5  # 2 s to settle, some turns, and the list in transit
         # With the service down, all routers together keep to the rate, whichever are missing.
         zone = Zone(size, seed=seed, rate=rate, present=present)
-        zone.up = False
-        zone.go(10)
-        times = [at for at, _, mode in zone.asked if mode is not QueryMode.ISOLATED and at > 4 * SECOND]
+        zone.service_up = False
+        zone.advance(10)
+        times = [at for at, _, mode in zone.queries if mode is not QueryMode.ISOLATED and at > 4 * SECOND]
         assert 6 <= len(times) <= 6 * zone.rate + len(present)
-        assert zone.worst_second() <= zone.rate + 2
+        assert zone.max_queries_per_second() <= zone.rate + 2
 
 
 def test_a_paused_router_hears_the_others_before_it_queries():
     """A process resumed after 3 s took the reader for silent and queried at once."""
     zone = Zone(8, seed=2)
-    zone.go(6)
+    zone.advance(6)
     (reader,) = zone.readers()
-    zone.go(4, stopped={(reader + 1) % 8})
-    queries_before = len(zone.asked)
-    zone.go(6)
-    assert len(zone.asked) == queries_before and zone.readers() == [reader]
+    zone.advance(4, stopped={(reader + 1) % 8})
+    queries_before = len(zone.queries)
+    zone.advance(6)
+    assert len(zone.queries) == queries_before and zone.readers() == [reader]
 
 
 def test_turns_are_the_same_at_all_routers_and_differ_for_each_silence():
