--- a/swiftwell/lab/__init__.py
+++ b/swiftwell/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: an emulator of what gateways serve, in virtual time, around the real engine."""
+"""Emulates everything around the gateways in virtual time; the engine is the real one."""
--- a/swiftwell/lab/clients.py
+++ b/swiftwell/lab/clients.py
@@ -74,7 +74,7 @@
         gateway = front.gateways[index]
         client.turn += len(front.gateways) > 1
         if not gateway.up:
-            self.world.after(self._waits.uniform(*c.RECONNECT_S) * 1e6, self._connect, client)
+            self.world.after(self._waits.uniform(*c.RECONNECT_RANGE_S) * 1e6, self._connect, client)
             return
         client.gateway, client.up = index, True
         self._connected(client, f"127.0.0.1:{gateway.port}")
@@ -91,7 +91,7 @@
                 client.up, client.gateway = False, -1
                 name = self._client_name(client.number)
                 self.world.note("disconnected", "publishers", client=name, why="closed by the peer")
-                self.world.after(self._waits.uniform(*c.RECONNECT_S) * 1e6, self._connect, client)
+                self.world.after(self._waits.uniform(*c.RECONNECT_RANGE_S) * 1e6, self._connect, client)
 
     def _client_name(self, number: int) -> str:
         return f"{self._name}-{number}"
@@ -175,7 +175,7 @@
         if isinstance(self._front, Endpoint):
             self._front.publish(client.gateway, message)
         else:
-            self.world.after(c.CLIENT_US, self._front.publish, message)
+            self.world.after(c.CLIENT_DELAY_US, self._front.publish, message)
 
     def _answer(self, call: _Call, message: Message, kind: str, reason: str, dup: bool) -> None:
         self.world.note("answer", "publishers", corr=message.corr, kind=kind, reason=reason, dup=dup)
--- a/swiftwell/lab/constants.py
+++ b/swiftwell/lab/constants.py
@@ -1,16 +1,18 @@
-"""What the emulator's models are calibrated with.  Each figure was measured on the sockets, on loopback, or
-is stated by a day file; docs/lab.md says how.
+"""Calibration of the emulator's models, from measurements over loopback sockets or from day files.
+
+docs/lab.md describes how each value was obtained.  Delays are lognormal: a median and the standard deviation
+of the logarithm (`_SIGMA`).
 """
 
 from __future__ import annotations
 
-CLIENT_US, CLIENT_SPREAD = 250.0, 0.5  # us: a message between a client (or broker) and a gateway, one way
-WORKER_US, WORKER_SPREAD = 200.0, 0.5  # us: a request or answer between a gateway and a worker, one way
-BROKER_US = 150.0  # us that a stand-in broker takes for a message
-COMMIT_US, COMMIT_SPREAD = 1_200.0, 0.6  # us that a commit of the ledger takes; benchmarks/ledger.py
-TURN_US = 45.0  # us of a gateway's loop for each input that it takes; benchmarks/path.py, 4 inputs a call
-CONNECT_FAIL_US = 300.0  # us until a connection to nothing is refused
-LIST_POLL_US = 1_000.0  # us from a change of the list to the answer of the question that waits for it
-RECONNECT_S = (0.1, 0.3)  # s between a client's attempts to connect
-START_S = 0.9  # s that a gateway's process takes to start
-RECEIVE = 256  # Receive Maximum of a gateway at an MQTT broker
+CLIENT_DELAY_US, CLIENT_DELAY_SIGMA = 250.0, 0.5  # one way, between a client or broker and a gateway
+WORKER_DELAY_US, WORKER_DELAY_SIGMA = 200.0, 0.5  # one way, between a gateway and a worker
+BROKER_DELAY_US = 150.0  # time a stand-in broker takes for a message
+COMMIT_US, COMMIT_SIGMA = 1_200.0, 0.6  # a commit of the ledger; see benchmarks/ledger.py
+INPUT_COST_US = 45.0  # event loop time of a gateway per input; see benchmarks/path.py, 4 inputs a call
+CONNECT_REFUSED_US = 300.0  # until a connection attempt is refused when nothing listens
+LIST_ANSWER_US = 1_000.0  # from a change of the worker list to the answer of a pending long poll
+RECONNECT_RANGE_S = (0.1, 0.3)  # wait between two connection attempts of a client
+GATEWAY_START_S = 0.9  # start-up time of a gateway process
+RECEIVE_MAXIMUM = 256  # MQTT Receive Maximum of a gateway at a broker
--- a/swiftwell/lab/emulator.py
+++ b/swiftwell/lab/emulator.py
@@ -15,7 +15,7 @@
 from swiftwell.lab import constants as c
 from swiftwell.lab.clients import Crowd
 from swiftwell.lab.fronts import AmqpBroker, Endpoint, MqttBroker
-from swiftwell.lab.gateway import Gateway, Make, Plan
+from swiftwell.lab.gateway import Gateway, RouterFactory, Plan
 from swiftwell.lab.servers import Server, Store
 from swiftwell.lab.world import START_US, World
 from swiftwell.proof import days
@@ -74,7 +74,7 @@
         if gateway.name in self._asked:
             return
         self._asked.add(gateway.name)
-        self._world.after(c.LIST_POLL_US + gateway.client_us(), self._answer, gateway, gateway.life)
+        self._world.after(c.LIST_ANSWER_US + gateway.client_us(), self._answer, gateway, gateway.life)
 
     def _answer(self, gateway: Gateway, life: int) -> None:
         self._asked.discard(gateway.name)
@@ -115,7 +115,9 @@
 class Emulation:
     """One day in virtual time.  `make` puts another router in the module's place, for comparison."""
 
-    def __init__(self, name: str, day: days.Day, seed: int, scale: float = 1.0, make: Make = Router) -> None:
+    def __init__(
+        self, name: str, day: days.Day, seed: int, scale: float = 1.0, make: RouterFactory = Router
+    ) -> None:
         self.name, self.seed = name, seed
         day, scale = days.scaled(day, scale)
         self.day, self._scale = day, scale
--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -162,7 +162,7 @@
         if self.away():
             return
         self.world.note("from", "broker", client=message.client, corr=message.corr, topic=message.topic())
-        self.world.after(c.CLIENT_US, message.acked, message)
+        self.world.after(c.CLIENT_DELAY_US, message.acked, message)
         up = [member for member in self._members if member.gateway.up] or self._members
         if self._share:
             self._turn += 1
@@ -172,7 +172,12 @@
             self._flow(member)
 
     def _flow(self, member: _Member) -> None:
-        while member.waiting and member.gateway.up and not self.away() and len(member.flight) < c.RECEIVE:
+        while (
+            member.waiting
+            and member.gateway.up
+            and not self.away()
+            and len(member.flight) < c.RECEIVE_MAXIMUM
+        ):
             message = member.waiting.popleft()
             if self.world.now - message.sent_us > message.patience_us + 1_000_000:
                 self.world.note("expired", "broker", client=member.gateway.name, corr=message.corr)
@@ -185,7 +190,7 @@
         self.world.note(
             "to", "broker", client=gateway.name, corr=message.corr, topic=message.topic(), dup=dup
         )
-        us = c.BROKER_US + gateway.client_us()
+        us = c.BROKER_DELAY_US + gateway.client_us()
         self.world.after(us, self._arrives, member, gateway.life, message, dup)
 
     def _resume(self, member: _Member) -> None:
@@ -204,7 +209,7 @@
                 self._ack(member, origin)
 
         def replied(origin: Origin, answer: Answer) -> None:
-            us = gateway.client_us() + c.BROKER_US + c.CLIENT_US
+            us = gateway.client_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US
             kind, reason, message.wait_us = answer.kind.value, answer.reason, answer.wait_us
             self.world.after(us, self._answer, message, kind, reason)
             self._ack(member, origin)
@@ -321,7 +326,7 @@
         if self.away():
             return
         self.world.note("from", "amqp", client=message.client, corr=message.corr, topic=message.topic())
-        self.world.after(c.CLIENT_US, message.acked, message)
+        self.world.after(c.CLIENT_DELAY_US, message.acked, message)
         self._places += 1
         heapq.heappush(self._queue, _Queued((-message.priority, self._places), message))
         self.flow()
@@ -356,7 +361,7 @@
                 "to", "amqp", client=consumer.gateway.name, corr=message.corr, topic=message.topic(),
                 dup=queued.redelivered,
             )  # fmt: skip
-            us = c.BROKER_US + consumer.gateway.client_us()
+            us = c.BROKER_DELAY_US + consumer.gateway.client_us()
             again = queued.redelivered
             self.world.after(us, self._arrives, consumer, consumer.gateway.life, self._tags, message, again)
 
@@ -378,7 +383,7 @@
             consumer.open -= 1
             consumer.claimed -= not safe
             consumer.ended += 1
-            us, message.wait_us = gateway.client_us() + c.BROKER_US + c.CLIENT_US, answer.wait_us
+            us, message.wait_us = gateway.client_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US, answer.wait_us
             self.world.after(us, self._answer, message, answer.kind.value, answer.reason)
             if safe:
                 self.world.after(2 * gateway.client_us(), self._confirmed, consumer, life, tag, origin)
@@ -393,7 +398,7 @@
             gateway.submit(found)
             return
         origin.acked = True
-        back = 2 * gateway.client_us() + c.BROKER_US
+        back = 2 * gateway.client_us() + c.BROKER_DELAY_US
         self.world.after(back / 2, self._ack_of, consumer, life, tag)
         self.world.after(back, self._claimed, consumer, life, origin, found)
 
@@ -408,7 +413,7 @@
         if not consumer.up:
             origin.replied(found, Answer(Kind.FAILED, tr.MAY_HAVE_RUN))
             return
-        left = found.left_us - int(2 * c.CLIENT_US)
+        left = found.left_us - int(2 * c.CLIENT_DELAY_US)
         consumer.gateway.submit(replace(found, left_us=max(0, left)))
 
     def _confirmed(self, consumer: _Consumer, life: int, tag: int, origin: Origin) -> None:
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -27,7 +27,7 @@
 ORDER_US = 10_000_000  # us that the link waits for an order's answer
 ANSWER_BYTES = 1 << 20
 _FOUND = {"warm": 1, "loaded": 2, "waited": 3}
-Make = Callable[[io.Settings, int], Router]
+RouterFactory = Callable[[io.Settings, int], Router]
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     margin_us: int
     max_open: int = 20_000
     connections: int = 64
-    make: Make = Router
+    router_factory: RouterFactory = Router
     hint: Callable[[str], Any] = lambda function: None
     books: bool = True  # written now and then; nobody reads them on a day without a kill
 
@@ -72,7 +72,7 @@
         seed = self.world.stream(f"seed/{self.name}").below(1 << 32)
         self.engine = Engine(
             self.plan.told, ledger, seed=seed, margin_us=self.plan.margin_us, max_open=self.plan.max_open,
-            router_factory=self.plan.make,
+            router_factory=self.plan.router_factory,
         )  # fmt: skip
         self._inputs: list[ports.Input] = []
         self._stepping = False
@@ -107,7 +107,7 @@
         self.life += 1
         for told in self.on_life:
             told(False)
-        self.world.after((away_s + c.START_S) * 1e6, self.start)
+        self.world.after((away_s + c.GATEWAY_START_S) * 1e6, self.start)
 
     def _write_books(self, life: int) -> None:
         if life == self.life and self.up:
@@ -129,7 +129,7 @@
         self._stepping = False
         inputs, self._inputs = self._inputs, []
         world = self.world
-        self._free_at = world.now + int(c.TURN_US * (len(inputs) or 1))
+        self._free_at = world.now + int(c.INPUT_COST_US * (len(inputs) or 1))
         for out in self.engine.step(world.now, world.wall(), inputs):
             self._carry(out)
         self._flush()
@@ -174,7 +174,7 @@
         if self._committing or not self._waiting:
             return
         batch, self._waiting, self._committing = self._waiting, [], True
-        us = self._disk_chance.lognormal(c.COMMIT_US, c.COMMIT_SPREAD)
+        us = self._disk_chance.lognormal(c.COMMIT_US, c.COMMIT_SIGMA)
         self.world.after(us, self._durable, self.life, batch)
 
     def _durable(self, life: int, batch: list[Record]) -> None:
@@ -188,14 +188,14 @@
     # The link to workers.
 
     def _wire_us(self) -> float:
-        return self._delay.lognormal(c.WORKER_US, c.WORKER_SPREAD)
+        return self._delay.lognormal(c.WORKER_DELAY_US, c.WORKER_DELAY_SIGMA)
 
     def _start(self, out: ports.Start) -> None:
         key, began = (out.id, out.number), self.world.now
         self._out[key] = ""
         server = self._servers.get(out.worker)
         if server is None or server.refuses() or self._open.get(out.worker, 0) >= self.plan.connections:
-            self.world.after(c.CONNECT_FAIL_US, self._no_connection, self.life, key, began)
+            self.world.after(c.CONNECT_REFUSED_US, self._no_connection, self.life, key, began)
             return
         self._open[out.worker] = self._open.get(out.worker, 0) + 1
         self._out[key] = out.worker
@@ -272,7 +272,7 @@
             )  # fmt: skip
 
         if server is None or server.refuses():
-            self.world.after(c.CONNECT_FAIL_US, end, Status.CONNECT_FAILED, None)
+            self.world.after(c.CONNECT_REFUSED_US, end, Status.CONNECT_FAILED, None)
             return
 
         def told(answer: Answer) -> None:
@@ -298,7 +298,7 @@
             )
 
         if server is None or server.refuses():
-            self.world.after(c.CONNECT_FAIL_US, end, None)
+            self.world.after(c.CONNECT_REFUSED_US, end, None)
             return
 
         def told(answer: Answer) -> None:
@@ -319,4 +319,4 @@
 
     def client_us(self) -> float:
         """A message's way between this gateway and a client or a broker."""
-        return self._delay.lognormal(c.CLIENT_US, c.CLIENT_SPREAD)
+        return self._delay.lognormal(c.CLIENT_DELAY_US, c.CLIENT_DELAY_SIGMA)
--- a/swiftwell/lab/stats.py
+++ b/swiftwell/lab/stats.py
@@ -1,4 +1,4 @@
-"""Differences between designs that met the same days, with what chance makes of them."""
+"""Paired differences between designs that played the same days, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from scipy import stats
 
 RESAMPLES = 4_000
-LEVEL = 0.95
-WHAT = ("day", "design", "seed")  # columns that name a cell; the rest but factors are figures
+CONFIDENCE_LEVEL = 0.95
+KEY_COLUMNS = ("day", "design", "seed")  # identify a cell; other columns are factors or results
 FIGURES = (
     "calls", "service", "end_service", "tries", "served", "refused", "failed", "p50_ms", "p99_ms", "loads",
     "rules_broken",
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A mean with its interval at `LEVEL`; of differences where it is of pairs."""
+    """A mean, of values or of paired differences, with its confidence interval at `CONFIDENCE_LEVEL`."""
 
     mean: float
     low: float
@@ -28,54 +28,59 @@
     count: int
 
     @property
-    def tells(self) -> bool:
-        """Whether it keeps away from zero."""
+    def excludes_zero(self) -> bool:
+        """Whether the interval excludes zero."""
         return self.low > 0 or self.high < 0
 
 
 def interval(values: list[float]) -> Interval:
-    """The mean of values with its bootstrap interval; BCa, or its percentiles where BCa has no answer."""
-    found = np.asarray(values, dtype=float)
-    mean = float(found.mean())
-    if len(found) < 3 or np.ptp(found) == 0:
-        return Interval(mean, float(found.min()), float(found.max()), len(found))
-    random = np.random.default_rng(1)
+    """Returns the mean with its bootstrap interval: BCa, or percentile where BCa is undefined."""
+    sample = np.asarray(values, dtype=float)
+    mean = float(sample.mean())
+    if len(sample) < 3 or np.ptp(sample) == 0:
+        return Interval(mean, float(sample.min()), float(sample.max()), len(sample))
+    generator = np.random.default_rng(1)
     for method in ("BCa", "percentile"):
-        told = stats.bootstrap(
-            (found,), np.mean, n_resamples=RESAMPLES, confidence_level=LEVEL, method=method, rng=random
+        bounds = stats.bootstrap(
+            (sample,),
+            np.mean,
+            n_resamples=RESAMPLES,
+            confidence_level=CONFIDENCE_LEVEL,
+            method=method,
+            rng=generator,
         ).confidence_interval
-        if np.isfinite(told.low) and np.isfinite(told.high):
-            return Interval(mean, float(told.low), float(told.high), len(found))
-    return Interval(mean, float(found.min()), float(found.max()), len(found))
+        if np.isfinite(bounds.low) and np.isfinite(bounds.high):
+            return Interval(mean, float(bounds.low), float(bounds.high), len(sample))
+    return Interval(mean, float(sample.min()), float(sample.max()), len(sample))
 
 
-def place(row: dict[str, Any]) -> tuple[tuple[str, Any], ...]:
-    """Where a row stands: its day and the levels of its factors."""
-    return tuple((name, value) for name, value in row.items() if name not in (*WHAT[1:], *FIGURES))
+def conditions_of(row: dict[str, Any]) -> tuple[tuple[str, Any], ...]:
+    """Returns the day and the factor levels of a row."""
+    return tuple((name, value) for name, value in row.items() if name not in (*KEY_COLUMNS[1:], *FIGURES))
 
 
-def named(where: tuple[tuple[str, Any], ...]) -> str:
-    """A place in words."""
-    return ", ".join(str(value) if name == "day" else f"{name} {value:g}" for name, value in where)
+def format_conditions(conditions: tuple[tuple[str, Any], ...]) -> str:
+    """Formats a day and factor levels for display."""
+    return ", ".join(str(value) if name == "day" else f"{name} {value:g}" for name, value in conditions)
 
 
 def means(rows: list[dict[str, Any]], figure: str) -> dict[tuple[Any, str], Interval]:
-    """For each place and design, the figure's mean over seeds."""
-    found: dict[tuple[Any, str], list[float]] = defaultdict(list)
+    """Returns the mean of a result column over seeds, by conditions and design."""
+    values_by_cell: dict[tuple[Any, str], list[float]] = defaultdict(list)
     for row in rows:
-        found[place(row), row["design"]].append(row[figure])
-    return {key: interval(values) for key, values in found.items()}
+        values_by_cell[conditions_of(row), row["design"]].append(row[figure])
+    return {key: interval(values) for key, values in values_by_cell.items()}
 
 
 def differences(rows: list[dict[str, Any]], figure: str, base: str) -> dict[tuple[Any, str], Interval]:
-    """For each place and other design: its figure less the base's, seed by seed, on the same days."""
-    by: dict[tuple[Any, str], dict[int, float]] = defaultdict(dict)
+    """Returns the mean difference to the design `base`, paired by seed, by conditions and other design."""
+    values_by_seed: dict[tuple[Any, str], dict[int, float]] = defaultdict(dict)
     for row in rows:
-        by[place(row), row["design"]][row["seed"]] = row[figure]
-    out = {}
-    for (where, design), values in by.items():
-        against = by.get((where, base), {})
-        pairs = [values[seed] - against[seed] for seed in sorted(values.keys() & against.keys())]
+        values_by_seed[conditions_of(row), row["design"]][row["seed"]] = row[figure]
+    result = {}
+    for (conditions, design), values in values_by_seed.items():
+        base_values = values_by_seed.get((conditions, base), {})
+        pairs = [values[seed] - base_values[seed] for seed in sorted(values.keys() & base_values.keys())]
         if design != base and pairs:
-            out[where, design] = interval(pairs)
-    return out
+            result[conditions, design] = interval(pairs)
+    return result
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -346,8 +346,11 @@
         inside += told.low <= 0.02 <= told.high
         assert told.count == 12 and told.high - told.low < 0.03
     assert inside >= 48  # 57 are expected of 95 %
-    assert stats.interval([0.5, 0.5, 0.5]).low == 0.5 and not stats.interval([-1.0, 1.0, 0.3, -0.2]).tells
-    assert stats.interval([0.2, 0.21, 0.22, 0.2]).tells
+    assert (
+        stats.interval([0.5, 0.5, 0.5]).low == 0.5
+        and not stats.interval([-1.0, 1.0, 0.3, -0.2]).excludes_zero
+    )
+    assert stats.interval([0.2, 0.21, 0.22, 0.2]).excludes_zero
 
 
 @pytest.mark.parametrize("design", sorted(DESIGNS))
