--- a/swiftwell/cli/lab.py
+++ b/swiftwell/cli/lab.py
@@ -47,7 +47,8 @@
             click.echo(text, err=True)
         click.echo(
             f"{verdict['calls']} calls in {emulation.spent_s:.1f} s: "
-            f"{verdict['calls'] / emulation.spent_s:.0f} calls a second, {emulation.world.callbacks_run} events",
+            f"{verdict['calls'] / emulation.spent_s:.0f} calls a second, "
+            f"{emulation.world.callbacks_run} events",
             err=True,
         )
     sys.exit(0 if verdict["rules_kept"] else 1)
@@ -80,7 +81,10 @@
     means = stats.means(rows, figure)
     paired = stats.differences(rows, figure, base)
     for (factors, design), mean in means.items():
-        text = f"{stats.format_conditions(factors):44} {design:16} {mean.mean:.4f} ({mean.low:.4f} to {mean.high:.4f})"
+        text = (
+            f"{stats.format_conditions(factors):44} {design:16} "
+            f"{mean.mean:.4f} ({mean.low:.4f} to {mean.high:.4f})"
+        )
         if difference := paired.get((factors, design)):
             text += (
                 f"  {difference.mean:+.4f} ({difference.low:+.4f} to {difference.high:+.4f}) against {base}"
--- a/swiftwell/lab/report.py
+++ b/swiftwell/lab/report.py
@@ -20,7 +20,7 @@
 body { font: 15px/1.5 system-ui, sans-serif; max-width: 68rem; margin: 2rem auto; color: #222 }
 table { border-collapse: collapse; margin: 1rem 0 } td, th { padding: .2rem .7rem; text-align: right }
 td:first-child, th:first-child { text-align: left } tr:nth-child(even) { background: #f4f4f4 }
-.significant { font-weight: 600 } .invalid { color: #b00 }
+.tells { font-weight: 600 } .wrong { color: #b00 }
 """
 
 
@@ -111,7 +111,7 @@
         css_class = (
             "invalid"
             if rules_broken[conditions, design].mean
-            else ("significant" if difference and difference.excludes_zero else "")
+            else ("tells" if difference and difference.excludes_zero else "")
         )
         parts.append(f'<tr class="{css_class}">' + "".join(f"<td>{cell}</td>" for cell in cells) + "</tr>")
     return "".join(parts) + "</table>"
@@ -124,9 +124,9 @@
     base = experiment.designs[0]
     body = [f"<h1>{html.escape(title)}</h1><p>{html.escape(experiment.doc)}</p>"]
     body.append(
-        f"<p>{len(rows)} emulated days, {experiment.seeds} seeds each; all designs play the same day for the same "
-        "seed. Differences are paired by seed; intervals are bootstrapped (BCa, 95 %). Rows in bold have a "
-        "difference whose interval excludes zero.</p>"
+        f"<p>{len(rows)} emulated days, {experiment.seeds} seeds each; all designs play the same day for "
+        "the same seed. Differences are paired by seed; intervals are bootstrapped (BCa, 95 %). Rows in "
+        "bold have a difference whose interval excludes zero.</p>"
     )
     for factor in experiment.factors:
         if len(factor.levels) > 1:
