--- a/swiftwell/lab/emulator.py
+++ b/swiftwell/lab/emulator.py
@@ -1,5 +1,7 @@
-"""A day in virtual time: the same day file, the same checker, the same verdict, at sizes that sockets don't
-reach."""
+"""Plays a day in virtual time, with the same day file, checker and verdict as over sockets.
+
+It reaches sizes that sockets don't.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 from swiftwell.lab import constants as c
 from swiftwell.lab.clients import Crowd
 from swiftwell.lab.fronts import AmqpBroker, Endpoint, MqttBroker
-from swiftwell.lab.gateway import Gateway, RouterFactory, Plan
+from swiftwell.lab.gateway import Gateway, Plan, RouterFactory
 from swiftwell.lab.servers import Server, Store
 from swiftwell.lab.world import START_US, World
 from swiftwell.proof import days
@@ -24,99 +26,104 @@
 from swiftwell.settings import site as settings
 from swiftwell.standins.fleet import crowd_plan, machine
 
-END_S = 30.0  # s that publishers may take beyond their calls
-SETTLE_S = 0.5  # s from the gateways' start to the first call
+END_S = 30.0  # limit for open calls after the day's end
+SETTLE_S = 0.5  # from the gateways' start to the first call
 
 
 class ListService:
-    """The list of workers: late by so much, and told to each gateway that asks."""
+    """The list service: publishes worker states after a delay and answers the gateways' long polls."""
 
-    def __init__(self, world: World, late_us: float) -> None:
-        self._world, self._late_us = world, late_us
-        self._known: dict[str, tuple[str, str, int]] = {}  # worker: state, kind, start
-        self._told: dict[str, dict[str, tuple[str, int]]] = {}
+    def __init__(self, world: World, delay_us: float) -> None:
+        self._world, self._delay_us = world, delay_us
+        self._known: dict[str, tuple[str, str, int]] = {}  # by worker: state, kind, start time
+        self._sent_lists: dict[str, dict[str, tuple[str, int]]] = {}
         self.gateways: list[Gateway] = []
         self._faults: dict[str, int] = {}
-        self._asked: set[str] = set()  # gateways whose question is being answered
-        self._shown: tuple[io.WorkerEntry, ...] = ()  # the list as entries, shared by all that are told it
-        self._of: dict[str, tuple[str, int]] | None = None
+        self._answering: set[str] = set()  # gateways with an answer on its way
+        self._last_entries: tuple[io.WorkerEntry, ...] = ()  # the last list, shared by all gateways
+        self._last_states: dict[str, tuple[str, int]] | None = None
 
-    def put(self, server: Server, state: str, now: bool = False) -> None:
-        """A worker's state has changed."""
-        self._world.after(0 if now else self._late_us, self._put, server.name, state, server.kind,
+    def set_state(self, server: Server, state: str, now: bool = False) -> None:
+        """Publishes a worker's changed state, after the delay unless `now`."""
+        self._world.after(0 if now else self._delay_us, self._set_state, server.name, state, server.kind,
                           server.started_us)  # fmt: skip
 
-    def _put(self, name: str, state: str, kind: str, started: int) -> None:
+    def _set_state(self, name: str, state: str, kind: str, started: int) -> None:
         if state == "gone":
             self._known.pop(name, None)
         else:
             self._known[name] = (state, kind, started)
-        self.tell_all()
+        self.answer_all()
 
     def fault(self, name: str, for_s: float) -> None:
-        """down, hang, cut, malformed and back are answers of no use; empty and half are wrong ones."""
+        """Injects a fault.
+
+        down, hang, cut, malformed and back give no usable answer; empty and half give a wrong one.
+        """
         self._world.note("fault", "list", worker="list", fault=name, for_s=for_s)
         self._faults[name] = self._world.now + int(for_s * 1e6)
-        self._world.after(for_s * 1e6 + 50_000, self.tell_all)
+        self._world.after(for_s * 1e6 + 50_000, self.answer_all)
         if name in ("empty", "half"):
-            self.tell_all()
+            self.answer_all()
 
-    def _has(self, *names: str) -> bool:
+    def _has_fault(self, *names: str) -> bool:
         return any(self._world.now < self._faults.get(name, 0) for name in names)
 
-    def tell_all(self) -> None:
-        """Answer every question that waits."""
+    def answer_all(self) -> None:
+        """Answers the pending polls of all gateways."""
         for gateway in self.gateways:
-            self.tell(gateway)
+            self.answer(gateway)
 
-    def tell(self, gateway: Gateway) -> None:
-        """Answer a gateway's question; one answer tells all changes until it is written."""
-        if gateway.name in self._asked:
+    def answer(self, gateway: Gateway) -> None:
+        """Answers a gateway's poll; the answer holds all changes up to the time it is written."""
+        if gateway.name in self._answering:
             return
-        self._asked.add(gateway.name)
-        self._world.after(c.LIST_ANSWER_US + gateway.client_us(), self._answer, gateway, gateway.life)
+        self._answering.add(gateway.name)
+        self._world.after(
+            c.LIST_ANSWER_US + gateway.client_delay_us(), self._answer, gateway, gateway.incarnation
+        )
 
-    def _answer(self, gateway: Gateway, life: int) -> None:
-        self._asked.discard(gateway.name)
-        if gateway.life != life or not gateway.up:
+    def _answer(self, gateway: Gateway, incarnation: int) -> None:
+        self._answering.discard(gateway.name)
+        if gateway.incarnation != incarnation or not gateway.up:
             return
-        if self._has("down", "hang", "cut", "malformed", "back"):
+        if self._has_fault("down", "hang", "cut", "malformed", "back"):
             return
-        shown = {} if self._has("empty") else dict(self._known)
-        if self._has("half"):
-            shown = dict(list(shown.items())[::2])
-        after = {worker: (state, started) for worker, (state, _, started) in shown.items()}
-        before = self._told.get(gateway.name, {})
-        if after == before and before:
+        visible = {} if self._has_fault("empty") else dict(self._known)
+        if self._has_fault("half"):
+            visible = dict(list(visible.items())[::2])
+        current = {worker: (state, started) for worker, (state, _, started) in visible.items()}
+        previous = self._sent_lists.get(gateway.name, {})
+        if current == previous and previous:
             return
-        for worker, (state, started) in after.items():
-            if before.get(worker) != after[worker]:
+        for worker, (state, started) in current.items():
+            if previous.get(worker) != current[worker]:
                 self._world.note("told", "list", gw=gateway.name, worker=worker, state=state, started=started)
-        for worker in before:
-            if worker not in after:
+        for worker in previous:
+            if worker not in current:
                 self._world.note("told", "list", gw=gateway.name, worker=worker, state="gone", started=0)
-        self._told[gateway.name] = after
+        self._sent_lists[gateway.name] = current
         states = {"running": io.State.READY, "draining": io.State.DRAINING}
-        if after != self._of:
-            self._of = after
-            self._shown = tuple(
+        if current != self._last_states:
+            self._last_states = current
+            self._last_entries = tuple(
                 io.WorkerEntry(worker, states[state], kind, 1.0, started, "", 0)
-                for worker, (state, kind, started) in shown.items()
+                for worker, (state, kind, started) in visible.items()
             )
-        entries = self._shown
+        entries = self._last_entries
         gateway.enqueue(Listed(io.Members(io.ListKind.FULL, entries)))
 
-    def forget(self, gateway: Gateway) -> None:
-        """A gateway that starts asks for everything."""
-        self._told.pop(gateway.name, None)
-        self.tell(gateway)
+    def send_full_list(self, gateway: Gateway) -> None:
+        """Sends the full list to a gateway that has started."""
+        self._sent_lists.pop(gateway.name, None)
+        self.answer(gateway)
 
 
 class Emulation:
-    """One day in virtual time.  `make` puts another router in the module's place, for comparison."""
+    """One day in virtual time.  `router_factory` replaces the module's router, for comparisons."""
 
     def __init__(
-        self, name: str, day: days.Day, seed: int, scale: float = 1.0, make: RouterFactory = Router
+        self, name: str, day: days.Day, seed: int, scale: float = 1.0, router_factory: RouterFactory = Router
     ) -> None:
         self.name, self.seed = name, seed
         day, scale = days.scaled(day, scale)
@@ -125,49 +132,54 @@
         site = settings.read(
             days.site(day, 0, Path("state"), 0, ["127.0.0.1:1"], "127.0.0.1:1", amqp="127.0.0.1:1"), name
         )
-        self._work_us = {one.name: one.work_ms * 1e3 for one in day.classes}
-        f = day.fleet
-        room, most = max(1, round(f.store_room * scale)), max(2, round(f.store_most * scale))
-        self.store = Store(world, f.fetch_ms * 1e3, room, most)
-        self.list = ListService(world, f.list_late_ms * 1e3)
+        self._work_us = {entry.name: entry.work_ms * 1e3 for entry in day.classes}
+        fleet = day.fleet
+        store_capacity, store_max_fetches = (
+            max(1, round(fleet.store_room * scale)), max(2, round(fleet.store_most * scale)),
+        )  # fmt: skip
+        self.store = Store(world, fleet.fetch_ms * 1e3, store_capacity, store_max_fetches)
+        self.list = ListService(world, fleet.list_late_ms * 1e3)
         self.servers = self._servers()
         by_name = {server.name: server for server in self.servers}
         self.gateways = []
         for number in range(day.gateways):
-            told = replace(site.router_settings(), position=number)
+            router_settings = replace(site.router_settings(), position=number)
             plan = Plan(
-                told, site.margin_ms * 1_000, site.open_calls, site.workers.connections, make, site.hint,
-                any(one.do == "kill-gateway" for one in day.troubles),
+                router_settings, site.margin_ms * 1_000, site.open_calls, site.workers.connections,
+                router_factory, site.hint,
+                any(trouble.do == "kill-gateway" for trouble in day.troubles),
             )  # fmt: skip
             gateway = Gateway(world, f"gw-{number}", plan, by_name)
-            gateway.list_now = self.list.forget
+            gateway.request_list = self.list.send_full_list
             self.gateways.append(gateway)
         self.list.gateways = self.gateways
-        alone = day.gateways == 1
+        single_gateway = day.gateways == 1
         link = site.amqp[0]
         make_front = {
-            "endpoint": lambda: Endpoint(world, self.gateways, alone),
-            "broker": lambda: MqttBroker(world, self.gateways, day.share, alone),
-            "amqp": lambda: AmqpBroker(world, self.gateways, alone, link.prefetch_least, link.prefetch_most),
+            "endpoint": lambda: Endpoint(world, self.gateways, single_gateway),
+            "broker": lambda: MqttBroker(world, self.gateways, day.share, single_gateway),
+            "amqp": lambda: AmqpBroker(
+                world, self.gateways, single_gateway, link.prefetch_least, link.prefetch_most
+            ),
         }
-        used = {crowd.via for crowd in day.crowds} | {one.do for one in day.troubles}
-        self.fronts: dict[str, Any] = {via: make_front[via]() for via in make_front if via in used}
+        used_fronts = {crowd.via for crowd in day.crowds} | {trouble.do for trouble in day.troubles}
+        self.fronts: dict[str, Any] = {via: make_front[via]() for via in make_front if via in used_fronts}
         self.crowds = self._crowds()
 
     def _servers(self) -> list[Server]:
-        day, out = self.day, []
+        day, servers = self.day, []
         keys: OrderedDict[str, int] = OrderedDict()
         for kind in day.kinds:
-            made = machine(day, kind)
+            server_machine = machine(day, kind)
             for _ in range(max(1, round(kind.workers * self._scale))):
-                name = f"127.0.0.1:{20_000 + len(out)}"
+                name = f"127.0.0.1:{20_000 + len(servers)}"
                 server = Server(
-                    self.world, name, kind.name, made, self._work_us, self.store, keys, day.warm,
-                    self.list.put,
+                    self.world, name, kind.name, server_machine, self._work_us, self.store, keys, day.warm,
+                    self.list.set_state,
                 )  # fmt: skip
-                out.append(server)
-                self.list.put(server, "running", now=True)
-        return out
+                servers.append(server)
+                self.list.set_state(server, "running", now=True)
+        return servers
 
     def _crowds(self) -> list[Crowd]:
         return [
@@ -176,54 +188,61 @@
         ]
 
     def run(self) -> dict[str, Any]:
-        """Play it; its verdict, as a day through sockets has it."""
-        began, world = time.perf_counter(), self.world
+        """Plays the day and returns its verdict, in the same form as over sockets."""
+        wall_started, world = time.perf_counter(), self.world
         for gateway in self.gateways:
             gateway.start()
         world.run(START_US + int(SETTLE_S * 1e6))
         for crowd in self.crowds:
-            crowd.over = self._crowd_over
+            crowd.on_finished = self._on_crowd_finished
             crowd.start()
         start = world.now
-        for number, one in enumerate(self.day.troubles):
-            world.at(start + one.at * 1e6, self._trouble, number, one)
-        until = start + int((self.day.seconds + END_S) * 1e6)
-        world.run(until)
-        spent = time.perf_counter() - began
-        found = check(world.events, self.day.limits())
-        told = verdict(self.name, self.seed, (world.now - start) / 1e6, world.events, found)
-        told["rules_kept"] = not any(found.broken.values()) and not found.lost and not found.doubled
+        for number, trouble in enumerate(self.day.troubles):
+            world.at(start + trouble.at * 1e6, self._apply_trouble, number, trouble)
+        end = start + int((self.day.seconds + END_S) * 1e6)
+        world.run(end)
+        spent_s = time.perf_counter() - wall_started
+        check_result = check(world.events, self.day.limits())
+        result = verdict(self.name, self.seed, (world.now - start) / 1e6, world.events, check_result)
+        result["rules_kept"] = (
+            not any(check_result.broken.values()) and not check_result.lost and not check_result.doubled
+        )
         if any(crowd.via == "amqp" for crowd in self.day.crowds):
-            told["sharing"] = sharing(world.events)
-        self.spent_s = spent  # not part of the verdict, which is the same every time
-        return told
+            result["sharing"] = sharing(world.events)
+        self.spent_s = spent_s  # kept out of the verdict, which depends on the seed alone
+        return result
 
-    def _crowd_over(self) -> None:
-        self.world.stopped = all(crowd.done and not crowd.open for crowd in self.crowds)
+    def _on_crowd_finished(self) -> None:
+        self.world.stopped = all(crowd.arrivals_ended and not crowd.open_calls for crowd in self.crowds)
 
-    def _trouble(self, number: int, one: days.Trouble) -> None:
-        match one.do:
+    def _apply_trouble(self, number: int, trouble: days.Trouble) -> None:
+        match trouble.do:
             case "kill-gateway":
-                self.gateways[one.gateway].kill(one.for_s)
+                self.gateways[trouble.gateway].kill(trouble.for_s)
             case "restart" | "upgrade":
-                pass  # handovers are a matter of sockets and processes: not emulated
+                pass  # not emulated: a handover needs sockets and processes
             case "store":
-                self.store.fault(one.fault, one.for_s)
+                self.store.fault(trouble.fault, trouble.for_s)
             case "list":
-                self.list.fault(one.fault, one.for_s)
+                self.list.fault(trouble.fault, trouble.for_s)
             case "broker" | "amqp":
-                self.fronts[one.do].fault(one.fault, one.for_s, one.keep, one.lose_s)
+                self.fronts[trouble.do].fault(trouble.fault, trouble.for_s, trouble.keep, trouble.lose_s)
             case _:
-                chance = self.world.stream(f"trouble/{number}")
-                count = min(one.workers, len(self.servers))
-                for index, picked in enumerate(chance.sample(count, len(self.servers))):
-                    self.world.after(index * one.one_by_one_s * 1e6, self._one, one, self.servers[picked])
-
-    def _one(self, one: days.Trouble, server: Server) -> None:
-        match one.do:
+                random = self.world.stream(f"trouble/{number}")
+                count = min(trouble.workers, len(self.servers))
+                for index, picked in enumerate(random.sample(count, len(self.servers))):
+                    self.world.after(
+                        index * trouble.one_by_one_s * 1e6,
+                        self._apply_to_server,
+                        trouble,
+                        self.servers[picked],
+                    )
+
+    def _apply_to_server(self, trouble: days.Trouble, server: Server) -> None:
+        match trouble.do:
             case "die":
-                server.die(one.for_s)
+                server.die(trouble.for_s)
             case "drain":
-                server.drain(one.for_s)
+                server.drain(trouble.for_s)
             case name:
-                server.fault(name.replace("-", "_"), one.for_s, one.times, one.band)
+                server.fault(name.replace("-", "_"), trouble.for_s, trouble.times, trouble.band)
--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -1,7 +1,7 @@
-"""How triggers reach gateways in virtual time: connections to the endpoint, an MQTT broker, an AMQP broker.
+"""Emulates how triggers reach gateways: connections to the MQTT endpoint, an MQTT broker, an AMQP broker.
 
-What a front decides is the program's own code where that is a module without I/O (the prefetch, what a
-redelivery may do); sessions, windows and acknowledgements are modelled in a few lines each.
+Decisions of a front that are in modules without I/O (the prefetch limit, the treatment of redeliveries) run
+the real code; sessions, flow control windows and acknowledgements are modelled here in a simple form.
 """
 
 from __future__ import annotations
@@ -21,12 +21,15 @@
 from swiftwell.lab.gateway import Gateway
 from swiftwell.lab.world import World
 
-Heard = Callable[["Message", str, str, bool], None]  # message, kind, reason, whether it may have come before
+AnswerCallback = Callable[["Message", str, str, bool], None]  # message, kind, reason, possible duplicate
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A publisher's try on its way.  `heard` hears of answers, `acked` that nobody will be given it again."""
+    """A publisher's try.
+
+    `on_answer` receives its answers; `on_ack` is called when it won't be delivered again.
+    """
 
     client: str
     corr: str
@@ -35,14 +38,14 @@
     tenant: str
     function: str
     sent_us: int
-    patience_us: int
-    heard: Heard
-    acked: Callable[[Message], None] = lambda message: None
+    timeout_us: int
+    on_answer: AnswerCallback
+    on_ack: Callable[[Message], None] = lambda message: None
     attempt: int = 0
     unanswered: bool = False
     qos: int = 1
     priority: int = 0
-    wait_us: int = 0  # for which its refusal sent its publisher away
+    retry_after_us: int = 0  # wait that its refusal requests
 
     def topic(self) -> str:
         return f"calls/{self.tenant}/{self.request_class}/{self.function}"
@@ -50,15 +53,15 @@
 
 @dataclass(slots=True, eq=False)
 class Origin:
-    """What a gateway answers to: the reference that a trigger carries."""
+    """The source of a trigger, which receives its answer (`Trigger.ref`)."""
 
     message: Message
     gateway: Gateway
-    life: int
+    incarnation: int
     on_accepted: Callable[[Origin], None]
     on_replied: Callable[[Origin, Answer], None]
     acked: bool = False
-    also: list[Any] = field(default_factory=list)
+    redelivered_tags: list[Any] = field(default_factory=list)
 
     def accepted(self, trigger: Trigger) -> None:
         self.on_accepted(self)
@@ -67,36 +70,42 @@
         self.on_replied(self, answer)
 
 
-def trigger(origin: Origin, source: str, dup: bool, elsewhere: bool, alone: bool) -> Trigger:
-    """The trigger that a message becomes, as `fronts/message_reader.py` reads it; the clock is known."""
+def build_trigger(
+    origin: Origin, source: str, dup: bool, maybe_seen_elsewhere: bool, single_gateway: bool
+) -> Trigger:
+    """Builds the trigger of a message as `fronts/message_reader.py` does, with exact clocks."""
     message, gateway = origin.message, origin.gateway
     hint = gateway.plan.hint(message.function)
-    left = message.patience_us - (gateway.world.now - message.sent_us)
+    left = message.timeout_us - (gateway.world.now - message.sent_us)
     return Trigger(
         source, origin, message.request_class, message.tenant, message.function, message.key,
         f"{message.key} payload".encode(), max(0, left),
         redelivered=dup or message.attempt > 0,
-        maybe_seen_elsewhere=not alone and (message.unanswered or elsewhere),
+        maybe_seen_elsewhere=not single_gateway and (message.unanswered or maybe_seen_elsewhere),
         memory_mb=hint.memory_mb if hint else 0.0, lanes=hint.lanes if hint else 1,
     )  # fmt: skip
 
 
 class Endpoint:
-    """Publishers' own connections to gateways."""
+    """The MQTT endpoint: publishers connect to gateways directly."""
 
-    def __init__(self, world: World, gateways: list[Gateway], alone: bool) -> None:
-        self.world, self.gateways, self._alone = world, gateways, alone
+    def __init__(self, world: World, gateways: list[Gateway], single_gateway: bool) -> None:
+        self.world, self.gateways, self._single_gateway = world, gateways, single_gateway
 
-    def publish(self, number: int, message: Message, again: bool = False) -> None:
-        """A client that is connected to this gateway publishes."""
+    def publish(self, number: int, message: Message, redelivered: bool = False) -> None:
+        """Publishes a message of a client that is connected to gateway `number`."""
         gateway = self.gateways[number]
-        self.world.after(gateway.client_us(), self._arrives, gateway, gateway.life, message, again)
+        self.world.after(
+            gateway.client_delay_us(), self._arrives, gateway, gateway.incarnation, message, redelivered
+        )
 
-    def _arrives(self, gateway: Gateway, life: int, message: Message, again: bool) -> None:
-        if not gateway.up or gateway.life != life:
+    def _arrives(self, gateway: Gateway, incarnation: int, message: Message, redelivered: bool) -> None:
+        if not gateway.up or gateway.incarnation != incarnation:
             return
-        origin = Origin(message, gateway, life, self._accepted, self._replied)
-        gateway.submit(trigger(origin, f"mqtt:{message.client}", again, again, self._alone))
+        origin = Origin(message, gateway, incarnation, self._accepted, self._replied)
+        gateway.submit(
+            build_trigger(origin, f"mqtt:{message.client}", redelivered, redelivered, self._single_gateway)
+        )
 
     def _accepted(self, origin: Origin) -> None:
         if origin.gateway.effect(origin.message.request_class) is not Effect.SAFE:
@@ -106,253 +115,262 @@
         if not origin.acked:
             origin.acked = True
             message = origin.message
-            self.world.after(origin.gateway.client_us(), message.acked, message)
+            self.world.after(origin.gateway.client_delay_us(), message.on_ack, message)
 
     def _replied(self, origin: Origin, answer: Answer) -> None:
         message, kind, reason = origin.message, answer.kind.value, answer.reason
-        message.wait_us = answer.wait_us
-        self.world.after(origin.gateway.client_us(), message.heard, message, kind, reason, False)
+        message.retry_after_us = answer.wait_us
+        self.world.after(origin.gateway.client_delay_us(), message.on_answer, message, kind, reason, False)
         self._ack(origin)
 
 
 @dataclass(slots=True, eq=False)
-class _Member:
+class _Session:
     """A gateway's session at an MQTT broker."""
 
     gateway: Gateway
     waiting: deque[Message] = field(default_factory=deque)
-    flight: OrderedDict[Message, None] = field(default_factory=OrderedDict)
+    in_flight: OrderedDict[Message, None] = field(default_factory=OrderedDict)
 
 
 class MqttBroker:
-    """An MQTT broker whose shared subscription gateways take in turn; sessions outlive connections."""
-
-    def __init__(self, world: World, gateways: list[Gateway], share: str, alone: bool) -> None:
-        self.world, self._share, self._alone = world, share, alone
-        self._members = [_Member(gateway) for gateway in gateways]
-        self._turn = -1
-        self._away_until = 0
-        self._chance = world.stream("mqtt-broker")
-        for member in self._members:
-            member.gateway.on_life.append(lambda up, m=member: up and world.after(50_000, self._resume, m))
-
-    def away(self) -> bool:
-        """Nothing goes through now."""
-        return self.world.now < self._away_until
+    """An MQTT broker with a shared subscription, served round-robin; sessions outlive connections."""
+
+    def __init__(self, world: World, gateways: list[Gateway], share: str, single_gateway: bool) -> None:
+        self.world, self._share, self._single_gateway = world, share, single_gateway
+        self._sessions = [_Session(gateway) for gateway in gateways]
+        self._rotation = -1
+        self._unavailable_until = 0
+        self._random = world.stream("mqtt-broker")
+        for session in self._sessions:
+            session.gateway.lifecycle_listeners.append(
+                lambda up, s=session: up and world.after(50_000, self._resume, s)
+            )
+
+    def is_unavailable(self) -> bool:
+        """Whether the broker delivers nothing now."""
+        return self.world.now < self._unavailable_until
 
     def fault(self, name: str, for_s: float, keep: bool = True, lose_s: float = 0.0) -> None:
-        """restart or stall; other faults of the stand-in are of acknowledgements, and not modelled."""
+        """Injects "restart" or "stall"; the stand-in's faults of acknowledgements aren't modelled."""
         world = self.world
         world.note("fault", "broker", worker="broker", fault=name, for_s=for_s)
         if name not in ("restart", "stall"):
             return
-        self._away_until = world.now + int(for_s * 1e6)
+        self._unavailable_until = world.now + int(for_s * 1e6)
         if name == "restart":
             world.note("broker-down", "broker", keep=keep)
-            world.at(self._away_until, world.note, "broker-up", "broker")
+            world.at(self._unavailable_until, world.note, "broker-up", "broker")
             if not keep:
-                for member in self._members:
-                    member.waiting.clear()
-                    member.flight.clear()
-        for member in self._members:
-            world.at(self._away_until + 200_000, self._resume, member)
+                for session in self._sessions:
+                    session.waiting.clear()
+                    session.in_flight.clear()
+        for session in self._sessions:
+            world.at(self._unavailable_until + 200_000, self._resume, session)
 
     def publish(self, message: Message) -> None:
-        """A publisher's message reaches the broker."""
-        if self.away():
+        """Receives a publisher's message."""
+        if self.is_unavailable():
             return
         self.world.note("from", "broker", client=message.client, corr=message.corr, topic=message.topic())
-        self.world.after(c.CLIENT_DELAY_US, message.acked, message)
-        up = [member for member in self._members if member.gateway.up] or self._members
+        self.world.after(c.CLIENT_DELAY_US, message.on_ack, message)
+        up = [session for session in self._sessions if session.gateway.up] or self._sessions
         if self._share:
-            self._turn += 1
-            up = [up[self._turn % len(up)]]
-        for member in up:
-            member.waiting.append(message)
-            self._flow(member)
+            self._rotation += 1
+            up = [up[self._rotation % len(up)]]
+        for session in up:
+            session.waiting.append(message)
+            self._deliver_waiting(session)
 
-    def _flow(self, member: _Member) -> None:
+    def _deliver_waiting(self, session: _Session) -> None:
         while (
-            member.waiting
-            and member.gateway.up
-            and not self.away()
-            and len(member.flight) < c.RECEIVE_MAXIMUM
+            session.waiting
+            and session.gateway.up
+            and not self.is_unavailable()
+            and len(session.in_flight) < c.RECEIVE_MAXIMUM
         ):
-            message = member.waiting.popleft()
-            if self.world.now - message.sent_us > message.patience_us + 1_000_000:
-                self.world.note("expired", "broker", client=member.gateway.name, corr=message.corr)
+            message = session.waiting.popleft()
+            if self.world.now - message.sent_us > message.timeout_us + 1_000_000:
+                self.world.note("expired", "broker", client=session.gateway.name, corr=message.corr)
                 continue
-            member.flight[message] = None
-            self._deliver(member, message, False)
+            session.in_flight[message] = None
+            self._deliver(session, message, False)
 
-    def _deliver(self, member: _Member, message: Message, dup: bool) -> None:
-        gateway = member.gateway
+    def _deliver(self, session: _Session, message: Message, dup: bool) -> None:
+        gateway = session.gateway
         self.world.note(
             "to", "broker", client=gateway.name, corr=message.corr, topic=message.topic(), dup=dup
         )
-        us = c.BROKER_DELAY_US + gateway.client_us()
-        self.world.after(us, self._arrives, member, gateway.life, message, dup)
-
-    def _resume(self, member: _Member) -> None:
-        if member.gateway.up and not self.away():
-            for message in list(member.flight):
-                self._deliver(member, message, True)
-            self._flow(member)
-
-    def _arrives(self, member: _Member, life: int, message: Message, dup: bool) -> None:
-        gateway = member.gateway
-        if not gateway.up or gateway.life != life:
+        us = c.BROKER_DELAY_US + gateway.client_delay_us()
+        self.world.after(us, self._arrives, session, gateway.incarnation, message, dup)
+
+    def _resume(self, session: _Session) -> None:
+        if session.gateway.up and not self.is_unavailable():
+            for message in list(session.in_flight):
+                self._deliver(session, message, True)
+            self._deliver_waiting(session)
+
+    def _arrives(self, session: _Session, incarnation: int, message: Message, dup: bool) -> None:
+        gateway = session.gateway
+        if not gateway.up or gateway.incarnation != incarnation:
             return
 
         def accepted(origin: Origin) -> None:
             if gateway.effect(message.request_class) is not Effect.SAFE:
-                self._ack(member, origin)
+                self._ack(session, origin)
 
         def replied(origin: Origin, answer: Answer) -> None:
-            us = gateway.client_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US
-            kind, reason, message.wait_us = answer.kind.value, answer.reason, answer.wait_us
+            us = gateway.client_delay_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US
+            kind, reason, message.retry_after_us = answer.kind.value, answer.reason, answer.wait_us
             self.world.after(us, self._answer, message, kind, reason)
-            self._ack(member, origin)
+            self._ack(session, origin)
 
-        origin = Origin(message, gateway, life, accepted, replied)
-        found = trigger(origin, "broker:estate", dup, False, self._alone)
+        origin = Origin(message, gateway, incarnation, accepted, replied)
+        trigger = build_trigger(origin, "broker:estate", dup, False, self._single_gateway)
         if self._share and message.qos == 1 and gateway.effect(message.request_class) is Effect.UNSAFE:
-            found = replace(found, rejection=tr.UNSAFE_QOS)
-        gateway.submit(found)
+            trigger = replace(trigger, rejection=tr.UNSAFE_QOS)
+        gateway.submit(trigger)
 
-    def _ack(self, member: _Member, origin: Origin) -> None:
+    def _ack(self, session: _Session, origin: Origin) -> None:
         if not origin.acked:
             origin.acked = True
-            us = member.gateway.client_us()
-            self.world.after(us, self._acked, member, origin.life, origin.message)
+            us = session.gateway.client_delay_us()
+            self.world.after(us, self._on_ack, session, origin.incarnation, origin.message)
 
-    def _acked(self, member: _Member, life: int, message: Message) -> None:
-        if member.gateway.life == life and not self.away():
-            member.flight.pop(message, None)
-            self._flow(member)
+    def _on_ack(self, session: _Session, incarnation: int, message: Message) -> None:
+        if session.gateway.incarnation == incarnation and not self.is_unavailable():
+            session.in_flight.pop(message, None)
+            self._deliver_waiting(session)
 
     def _answer(self, message: Message, kind: str, reason: str) -> None:
-        """An answer through the broker; one that meets it away is delivered once it is back."""
-        if self.away():
-            self.world.at(self._away_until + 300_000, message.heard, message, kind, reason, False)
+        """Delivers an answer; while the broker is unavailable it is delayed until the broker is back."""
+        if self.is_unavailable():
+            self.world.at(self._unavailable_until + 300_000, message.on_answer, message, kind, reason, False)
         else:
-            message.heard(message, kind, reason, False)
+            message.on_answer(message, kind, reason, False)
 
 
 @dataclass(order=True, slots=True)
 class _Queued:
-    place: tuple[int, int]
+    position: tuple[int, int]  # negative priority, order of arrival
     message: Message = field(compare=False)
     redelivered: bool = field(default=False, compare=False)
 
 
 class _Consumer:
-    """A gateway's link to an AMQP queue."""
+    """A gateway's consumer at the AMQP queue."""
 
-    def __init__(self, broker: AmqpBroker, gateway: Gateway, least: int, most: int) -> None:
+    def __init__(self, broker: AmqpBroker, gateway: Gateway, min_prefetch: int, max_prefetch: int) -> None:
         self.broker, self.gateway = broker, gateway
-        self._bounds = least, most
+        self._prefetch_bounds = min_prefetch, max_prefetch
         self.up = False
         self.unacked: dict[int, _Queued] = {}
-        gateway.on_life.append(self.life)
+        gateway.lifecycle_listeners.append(self.on_lifecycle)
 
-    def life(self, up: bool) -> None:
-        """The gateway started, or was killed."""
+    def on_lifecycle(self, up: bool) -> None:
+        """Handles a start or kill of the gateway."""
         if up:
-            self.prefetch = Prefetch(*self._bounds)
-            self.told = self.prefetch.limit
+            self.prefetch = Prefetch(*self._prefetch_bounds)
+            self.prefetch_limit = self.prefetch.limit
             self.unacked = {}
-            self.open = self.claimed = self.ended = 0
-            self.twins: dict[str, Origin] = {}
-            self.broker.world.after(20_000, self.connect, self.gateway.life)
-            self.broker.world.after(TICK_US, self.look, self.gateway.life)
+            self.open_calls = self.acked_before_run = self.ended_calls = 0
+            self.origins: dict[str, Origin] = {}
+            self.broker.world.after(20_000, self.connect, self.gateway.incarnation)
+            self.broker.world.after(TICK_US, self.update_prefetch, self.gateway.incarnation)
         else:
             self.broker.lost(self)
 
-    def connect(self, life: int) -> None:
-        if life == self.gateway.life and not self.broker.away():
-            self.up, self.since = True, self.broker.world.now
-            self.broker.flow()
+    def connect(self, incarnation: int) -> None:
+        if incarnation == self.gateway.incarnation and not self.broker.is_unavailable():
+            self.up, self.connected_at = True, self.broker.world.now
+            self.broker.deliver_waiting()
 
-    def look(self, life: int) -> None:
-        if life != self.gateway.life:
+    def update_prefetch(self, incarnation: int) -> None:
+        if incarnation != self.gateway.incarnation:
             return
         running, waiting = self.gateway.engine.load()
-        ended, self.ended = self.ended, 0
-        self.prefetch.update(self.broker.world.now, self.open, running, waiting, ended)
-        self.told = max(1, self.prefetch.limit - self.claimed)
-        self.broker.world.after(TICK_US, self.look, life)
+        ended, self.ended_calls = self.ended_calls, 0
+        self.prefetch.update(self.broker.world.now, self.open_calls, running, waiting, ended)
+        self.prefetch_limit = max(1, self.prefetch.limit - self.acked_before_run)
+        self.broker.world.after(TICK_US, self.update_prefetch, incarnation)
         if self.up:
-            self.broker.flow()
+            self.broker.deliver_waiting()
 
 
 class AmqpBroker:
-    """An AMQP broker with one queue of all gateways: priorities, prefetch, redelivery."""
+    """An AMQP broker with one queue for all gateways, with priorities, prefetch and redelivery."""
 
     def __init__(
-        self, world: World, gateways: list[Gateway], alone: bool, least: int = 1, most: int = 2_000
+        self,
+        world: World,
+        gateways: list[Gateway],
+        single_gateway: bool,
+        min_prefetch: int = 1,
+        max_prefetch: int = 2_000,
     ) -> None:
-        self.world, self._alone = world, alone
+        self.world, self._single_gateway = world, single_gateway
         self._queue: list[_Queued] = []
-        self._consumers = [_Consumer(self, gateway, least, most) for gateway in gateways]
-        self._turn = self._tags = self._places = 0
-        self._away_until = 0
+        self._consumers = [_Consumer(self, gateway, min_prefetch, max_prefetch) for gateway in gateways]
+        self._rotation = self._tags = self._enqueued_count = 0
+        self._unavailable_until = 0
 
-    def away(self) -> bool:
-        """Nothing goes through now."""
-        return self.world.now < self._away_until
+    def is_unavailable(self) -> bool:
+        """Whether the broker delivers nothing now."""
+        return self.world.now < self._unavailable_until
 
     def fault(self, name: str, for_s: float, keep: bool = True, lose_s: float = 0.0) -> None:
-        """restart, stall or cut; others are of the protocol, and not modelled."""
+        """Injects "restart", "stall" or "cut"; faults of the protocol aren't modelled."""
         world = self.world
         world.note("fault", "amqp", worker="broker", fault=name, for_s=for_s)
         if name not in ("restart", "stall", "cut"):
             return
         if name == "restart":
-            self._away_until = world.now + int(for_s * 1e6)
+            self._unavailable_until = world.now + int(for_s * 1e6)
             world.note("broker-down", "amqp", keep=keep)
-            world.at(self._away_until, world.note, "broker-up", "amqp")
+            world.at(self._unavailable_until, world.note, "broker-up", "amqp")
         elif name == "stall":
-            self._away_until = world.now + int(for_s * 1e6)
-            world.at(self._away_until, self.flow)
+            self._unavailable_until = world.now + int(for_s * 1e6)
+            world.at(self._unavailable_until, self.deliver_waiting)
             return
         for consumer in self._consumers:
             self.lost(consumer)
-            wait = max(self._away_until, world.now) + self.world.stream("amqp").uniform(50_000, 500_000)
-            world.at(wait, consumer.connect, consumer.gateway.life)
+            wait = max(self._unavailable_until, world.now) + self.world.stream("amqp").uniform(
+                50_000, 500_000
+            )
+            world.at(wait, consumer.connect, consumer.gateway.incarnation)
 
     def publish(self, message: Message) -> None:
-        """A publisher's message reaches the broker."""
-        if self.away():
+        """Receives a publisher's message."""
+        if self.is_unavailable():
             return
         self.world.note("from", "amqp", client=message.client, corr=message.corr, topic=message.topic())
-        self.world.after(c.CLIENT_DELAY_US, message.acked, message)
-        self._places += 1
-        heapq.heappush(self._queue, _Queued((-message.priority, self._places), message))
-        self.flow()
+        self.world.after(c.CLIENT_DELAY_US, message.on_ack, message)
+        self._enqueued_count += 1
+        heapq.heappush(self._queue, _Queued((-message.priority, self._enqueued_count), message))
+        self.deliver_waiting()
 
     def lost(self, consumer: _Consumer) -> None:
-        """A connection is gone: what it had not acknowledged goes back to its place."""
+        """Ends a connection; its unacknowledged messages return to their position in the queue."""
         consumer.up = False
         for queued in consumer.unacked.values():
             queued.redelivered = True
             heapq.heappush(self._queue, queued)
         consumer.unacked = {}
-        self.world.after(1_000, self.flow)
+        self.world.after(1_000, self.deliver_waiting)
 
-    def flow(self) -> None:
-        """Deliver what waits, in turn to consumers that have room."""
-        while self._queue and not self.away():
+    def deliver_waiting(self) -> None:
+        """Delivers queued messages round-robin to consumers below their prefetch limit."""
+        while self._queue and not self.is_unavailable():
             for _ in self._consumers:
-                self._turn += 1
-                consumer = self._consumers[self._turn % len(self._consumers)]
-                if consumer.up and len(consumer.unacked) < consumer.told:
+                self._rotation += 1
+                consumer = self._consumers[self._rotation % len(self._consumers)]
+                if consumer.up and len(consumer.unacked) < consumer.prefetch_limit:
                     break
             else:
                 return
             queued = heapq.heappop(self._queue)
             message = queued.message
-            if self.world.now - message.sent_us > message.patience_us:
+            if self.world.now - message.sent_us > message.timeout_us:
                 self.world.note("expired", "amqp", corr=message.corr)
                 continue
             self._tags += 1
@@ -361,73 +379,88 @@
                 "to", "amqp", client=consumer.gateway.name, corr=message.corr, topic=message.topic(),
                 dup=queued.redelivered,
             )  # fmt: skip
-            us = c.BROKER_DELAY_US + consumer.gateway.client_us()
-            again = queued.redelivered
-            self.world.after(us, self._arrives, consumer, consumer.gateway.life, self._tags, message, again)
-
-    def _arrives(self, consumer: _Consumer, life: int, tag: int, message: Message, redelivered: bool) -> None:
+            us = c.BROKER_DELAY_US + consumer.gateway.client_delay_us()
+            redelivered = queued.redelivered
+            self.world.after(
+                us, self._arrives, consumer, consumer.gateway.incarnation, self._tags, message, redelivered
+            )
+
+    def _arrives(
+        self, consumer: _Consumer, incarnation: int, tag: int, message: Message, redelivered: bool
+    ) -> None:
         gateway = consumer.gateway
-        if gateway.life != life or tag not in consumer.unacked:
+        if gateway.incarnation != incarnation or tag not in consumer.unacked:
             return
-        if redelivered and (twin := consumer.twins.get(message.corr)):
-            if twin.acked:
+        if redelivered and (earlier := consumer.origins.get(message.corr)):
+            if earlier.acked:
                 self._ack(consumer, tag)
             else:
-                twin.also.append(tag)
+                earlier.redelivered_tags.append(tag)
             return
         safe = gateway.effect(message.request_class) in (None, Effect.SAFE)
-        consumer.open += 1
-        consumer.claimed += not safe
+        consumer.open_calls += 1
+        consumer.acked_before_run += not safe
 
         def replied(origin: Origin, answer: Answer) -> None:
-            consumer.open -= 1
-            consumer.claimed -= not safe
-            consumer.ended += 1
-            us, message.wait_us = gateway.client_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US, answer.wait_us
+            consumer.open_calls -= 1
+            consumer.acked_before_run -= not safe
+            consumer.ended_calls += 1
+            us, message.retry_after_us = (
+                gateway.client_delay_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US, answer.wait_us,
+            )  # fmt: skip
             self.world.after(us, self._answer, message, answer.kind.value, answer.reason)
             if safe:
-                self.world.after(2 * gateway.client_us(), self._confirmed, consumer, life, tag, origin)
+                self.world.after(
+                    2 * gateway.client_delay_us(), self._confirmed, consumer, incarnation, tag, origin
+                )
 
-        origin = Origin(message, gateway, life, lambda origin: None, replied)
-        consumer.twins[message.corr] = origin
+        origin = Origin(message, gateway, incarnation, lambda origin: None, replied)
+        consumer.origins[message.corr] = origin
         age = self.world.now - message.sent_us
-        link = self.world.now - consumer.since
-        doubt = may_have_run(Delivery(redelivered, age, link), self._alone, RedeliveryPolicy.KNOWN)
-        found = trigger(origin, "amqp:plant", redelivered, not safe and doubt, self._alone)
+        link = self.world.now - consumer.connected_at
+        may_have_run_before = may_have_run(
+            Delivery(redelivered, age, link), self._single_gateway, RedeliveryPolicy.KNOWN
+        )
+        trigger = build_trigger(
+            origin, "amqp:plant", redelivered, not safe and may_have_run_before, self._single_gateway
+        )
         if safe:
-            gateway.submit(found)
+            gateway.submit(trigger)
             return
         origin.acked = True
-        back = 2 * gateway.client_us() + c.BROKER_DELAY_US
-        self.world.after(back / 2, self._ack_of, consumer, life, tag)
-        self.world.after(back, self._claimed, consumer, life, origin, found)
+        round_trip_us = 2 * gateway.client_delay_us() + c.BROKER_DELAY_US
+        self.world.after(round_trip_us / 2, self._ack_if_current, consumer, incarnation, tag)
+        self.world.after(round_trip_us, self._submit_unsafe, consumer, incarnation, origin, trigger)
 
-    def _ack_of(self, consumer: _Consumer, life: int, tag: int) -> None:
-        if consumer.gateway.life == life:
+    def _ack_if_current(self, consumer: _Consumer, incarnation: int, tag: int) -> None:
+        if consumer.gateway.incarnation == incarnation:
             self._ack(consumer, tag)
 
-    def _claimed(self, consumer: _Consumer, life: int, origin: Origin, found: Trigger) -> None:
-        """The broker has worked off the acknowledgement; or the connection was lost, then nobody knows."""
-        if consumer.gateway.life != life:
+    def _submit_unsafe(self, consumer: _Consumer, incarnation: int, origin: Origin, trigger: Trigger) -> None:
+        """Submits an unsafe call once the broker has handled its acknowledgement.
+
+        If the connection was lost meanwhile, the call fails, as the acknowledgement may not have arrived.
+        """
+        if consumer.gateway.incarnation != incarnation:
             return
         if not consumer.up:
-            origin.replied(found, Answer(Kind.FAILED, tr.MAY_HAVE_RUN))
+            origin.replied(trigger, Answer(Kind.FAILED, tr.MAY_HAVE_RUN))
             return
-        left = found.left_us - int(2 * c.CLIENT_DELAY_US)
-        consumer.gateway.submit(replace(found, left_us=max(0, left)))
+        left = trigger.left_us - int(2 * c.CLIENT_DELAY_US)
+        consumer.gateway.submit(replace(trigger, left_us=max(0, left)))
 
-    def _confirmed(self, consumer: _Consumer, life: int, tag: int, origin: Origin) -> None:
+    def _confirmed(self, consumer: _Consumer, incarnation: int, tag: int, origin: Origin) -> None:
         origin.acked = True
-        if consumer.gateway.life == life:
-            for one in (tag, *origin.also):
-                self._ack(consumer, one)
+        if consumer.gateway.incarnation == incarnation:
+            for delivery_tag in (tag, *origin.redelivered_tags):
+                self._ack(consumer, delivery_tag)
 
     def _ack(self, consumer: _Consumer, tag: int) -> None:
-        if consumer.unacked.pop(tag, None) and not self.away():
-            self.flow()
+        if consumer.unacked.pop(tag, None) and not self.is_unavailable():
+            self.deliver_waiting()
 
     def _answer(self, message: Message, kind: str, reason: str) -> None:
-        if self.away():
-            self.world.at(self._away_until + 300_000, message.heard, message, kind, reason, False)
+        if self.is_unavailable():
+            self.world.at(self._unavailable_until + 300_000, message.on_answer, message, kind, reason, False)
         else:
-            message.heard(message, kind, reason, False)
+            message.on_answer(message, kind, reason, False)
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -1,7 +1,7 @@
-"""A gateway in virtual time: the real engine with its module, ledger and list, and a shell of its own.
+"""Emulates a gateway in virtual time: the real engine with its module, ledger and worker list.
 
-The engine is driven through its inputs and outputs only.  What the shell of sockets does around it is
-modelled: turns of its loop, commits of the ledger, connections to workers, a list that is asked for, a kill.
+The engine is driven through its inputs and outputs only.  The shell that does I/O around it is modelled:
+iterations of the event loop, commits of the ledger, connections to workers, polls of the worker list, kills.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 from swiftwell.lab.world import World
 from swiftwell.standins.model import Work
 
-KEEP = Bounds(86_400_000_000, 200_000, 1 << 28)
-ORDER_US = 10_000_000  # us that the link waits for an order's answer
-ANSWER_BYTES = 1 << 20
-_FOUND = {"warm": 1, "loaded": 2, "waited": 3}
+LEDGER_BOUNDS = Bounds(86_400_000_000, 200_000, 1 << 28)
+ORDER_TIMEOUT_US = 10_000_000  # for the answer to a load order
+MAX_ANSWER_BYTES = 1 << 20
+_COPY_STATES = {"warm": 1, "loaded": 2, "waited": 3}
 RouterFactory = Callable[[io.Settings, int], Router]
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What all gateways of a day share."""
+    """The configuration that all gateways of a day share."""
 
-    told: io.Settings
+    settings: io.Settings
     margin_us: int
     max_open: int = 20_000
     connections: int = 64
     router_factory: RouterFactory = Router
     hint: Callable[[str], Any] = lambda function: None
-    books: bool = True  # written now and then; nobody reads them on a day without a kill
+    save_snapshots: bool = True  # periodically; only read after a kill
 
 
 class Gateway:
@@ -48,188 +48,201 @@
 
     def __init__(self, world: World, name: str, plan: Plan, servers: dict[str, Server]) -> None:
         self.world, self.name, self.plan, self._servers = world, name, plan, servers
-        self._delay = world.stream(f"network/{name}")
-        self._disk_chance = world.stream(f"disk/{name}")
-        self._effects = {request_class.name: request_class.effect for request_class in plan.told.classes}
-        self.disk: list[Record] = []  # what is durable, and outlives a kill
-        self._books: tuple[int, snapshot.RouterBooks] | None = None
+        self._network_random = world.stream(f"network/{name}")
+        self._disk_random = world.stream(f"disk/{name}")
+        self._effects = {request_class.name: request_class.effect for request_class in plan.settings.classes}
+        self.disk: list[Record] = []  # the durable records, kept across kills
+        self._snapshot: tuple[int, snapshot.RouterBooks] | None = None
         self.up = False
-        self.life = 0
-        self.on_life: list[Callable[[bool], None]] = []  # fronts hear of start and kill
-        self.list_now: Callable[[Gateway], None] = lambda gateway: None
+        self.incarnation = 0
+        # Called with True when the process starts, with False when it is killed.
+        self.lifecycle_listeners: list[Callable[[bool], None]] = []
+        self.request_list: Callable[[Gateway], None] = lambda gateway: None
         self.engine: Engine = None  # type: ignore[assignment]
 
-    # Life.
+    # Start and kill.
 
     def start(self) -> None:
-        """A process starts, with what is on its disk."""
+        """Starts a process with the records on its disk."""
         world = self.world
-        self.life += 1
+        self.incarnation += 1
         self.up = True
-        ledger = Ledger(KEEP)
+        ledger = Ledger(LEDGER_BOUNDS)
         for record in self.disk:
             ledger.replay(record)
         seed = self.world.stream(f"seed/{self.name}").below(1 << 32)
         self.engine = Engine(
-            self.plan.told, ledger, seed=seed, margin_us=self.plan.margin_us, max_open=self.plan.max_open,
+            self.plan.settings, ledger, seed=seed, margin_us=self.plan.margin_us, max_open=self.plan.max_open,
             router_factory=self.plan.router_factory,
         )  # fmt: skip
         self._inputs: list[ports.Input] = []
         self._stepping = False
-        self._armed = 0
+        self._armed_at = 0
         self._free_at = 0
-        self._waiting: list[Record] = []
+        self._unwritten: list[Record] = []
         self._committing = False
-        self._open: dict[str, int] = {}  # worker: connections to it
-        self._out: dict[tuple[str, int], str] = {}  # attempts that are out: their worker, "" without one
-        if self._books:
-            at, books = self._books
-            if believed := crash.believe(books, world.now - at, True):
+        self._connections: dict[str, int] = {}  # by worker
+        self._in_flight: dict[tuple[str, int], str] = {}  # by attempt: its worker, "" without a connection
+        if self._snapshot:
+            saved_at, saved = self._snapshot
+            if router_state := crash.believe(saved, world.now - saved_at, True):
                 self.engine.start_at(world.now, world.wall())
-                self.engine.restore_router_state(believed)
+                self.engine.restore_router_state(router_state)
         world.note("ready", "runner", gw=self.name, port=self.port)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))
-        self.list_now(self)
-        if self.plan.books:
-            world.after(crash.EVERY_US, self._write_books, self.life)
-        for told in self.on_life:
-            told(True)
+        self.request_list(self)
+        if self.plan.save_snapshots:
+            world.after(crash.EVERY_US, self._save_snapshot, self.incarnation)
+        for listener in self.lifecycle_listeners:
+            listener(True)
 
     @property
     def port(self) -> int:
-        """A number that stands for where it listens."""
+        """A port number that identifies the gateway; nothing listens on it."""
         return 10_000 + int(self.name.rpartition("-")[2])
 
     def kill(self, away_s: float) -> None:
-        """Killed outright, and started again after so long."""
+        """Kills the process; it is started again `away_s` later."""
         self.world.note("killed", "runner", gw=self.name)
         self.up = False
-        self.life += 1
-        for told in self.on_life:
-            told(False)
+        self.incarnation += 1
+        for listener in self.lifecycle_listeners:
+            listener(False)
         self.world.after((away_s + c.GATEWAY_START_S) * 1e6, self.start)
 
-    def _write_books(self, life: int) -> None:
-        if life == self.life and self.up:
-            self._books = (self.world.now, snapshot.take(self.engine.router, calls=False))
-            self.world.after(crash.EVERY_US, self._write_books, life)
+    def _save_snapshot(self, incarnation: int) -> None:
+        if incarnation == self.incarnation and self.up:
+            self._snapshot = (self.world.now, snapshot.take(self.engine.router, calls=False))
+            self.world.after(crash.EVERY_US, self._save_snapshot, incarnation)
 
-    # Turns.
+    # Event loop.
 
-    def enqueue(self, given: ports.Input) -> None:
-        """Something happened; taken in this turn of the loop, once the loop is free."""
-        self._inputs.append(given)
+    def enqueue(self, input_: ports.Input) -> None:
+        """Queues an input for the next iteration of the event loop, which runs once the loop is free."""
+        self._inputs.append(input_)
         if not self._stepping:
             self._stepping = True
-            self.world.at(self._free_at, self._turn, self.life)
+            self.world.at(self._free_at, self._step, self.incarnation)
 
-    def _turn(self, life: int) -> None:
-        if life != self.life:
+    def _step(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         self._stepping = False
         inputs, self._inputs = self._inputs, []
         world = self.world
         self._free_at = world.now + int(c.INPUT_COST_US * (len(inputs) or 1))
-        for out in self.engine.step(world.now, world.wall(), inputs):
-            self._carry(out)
+        for output in self.engine.step(world.now, world.wall(), inputs):
+            self._execute(output)
         self._flush()
         self._arm()
 
     def _arm(self) -> None:
-        due = self.engine.next_us()
-        if due is not None and not (self._armed and self._armed <= due):
-            self._armed = max(due, self.world.now)
-            self.world.at(due, self._due, self.life, self._armed)
+        due_at = self.engine.next_us()
+        if due_at is not None and not (self._armed_at and self._armed_at <= due_at):
+            self._armed_at = max(due_at, self.world.now)
+            self.world.at(due_at, self._on_timer, self.incarnation, self._armed_at)
 
-    def _due(self, life: int, due: int) -> None:
-        if life != self.life or due != self._armed:
+    def _on_timer(self, incarnation: int, due_at: int) -> None:
+        if incarnation != self.incarnation or due_at != self._armed_at:
             return
-        self._armed = 0
+        self._armed_at = 0
         if not self._stepping:
-            self._turn(life)
+            self._step(incarnation)
 
-    def _carry(self, out: ports.Output) -> None:
-        match out:
+    def _execute(self, output: ports.Output) -> None:
+        match output:
             case ports.Start():
-                self._start(out)
+                self._start(output)
             case ports.Reply():
-                out.trigger.ref.replied(out.trigger, out.answer)  # type: ignore[attr-defined]
+                output.trigger.ref.replied(output.trigger, output.answer)  # type: ignore[attr-defined]
             case ports.Accepted():
-                out.trigger.ref.accepted(out.trigger)  # type: ignore[attr-defined]
+                output.trigger.ref.accepted(output.trigger)  # type: ignore[attr-defined]
             case ports.Write():
-                self._waiting.append(out.record)
+                self._unwritten.append(output.record)
             case ports.Abandon():
-                if (out.id, out.number) in self._out:
-                    self._end(out.id, out.number, ports.AttemptEnd(out.id, out.number, out.status, Ran.MAYBE))
+                if (output.id, output.number) in self._in_flight:
+                    self._end_attempt(
+                        output.id,
+                        output.number,
+                        ports.AttemptEnd(output.id, output.number, output.status, Ran.MAYBE),
+                    )
             case ports.Order():
-                self._order(out)
+                self._order(output)
             case ports.Ask():
-                self._ask(out)
+                self._probe(output)
             case _:
                 pass
 
     # The ledger's disk.
 
     def _flush(self) -> None:
-        if self._committing or not self._waiting:
+        if self._committing or not self._unwritten:
             return
-        batch, self._waiting, self._committing = self._waiting, [], True
-        us = self._disk_chance.lognormal(c.COMMIT_US, c.COMMIT_SIGMA)
-        self.world.after(us, self._durable, self.life, batch)
+        batch, self._unwritten, self._committing = self._unwritten, [], True
+        us = self._disk_random.lognormal(c.COMMIT_US, c.COMMIT_SIGMA)
+        self.world.after(us, self._durable, self.incarnation, batch)
 
-    def _durable(self, life: int, batch: list[Record]) -> None:
-        if life != self.life:
+    def _durable(self, incarnation: int, batch: list[Record]) -> None:
+        if incarnation != self.incarnation:
             return
         self.disk += batch
         self._committing = False
-        self.enqueue(ports.Durable(self.engine._last_write - len(self._waiting)))
+        self.enqueue(ports.Durable(self.engine._last_write - len(self._unwritten)))
         self._flush()
 
     # The link to workers.
 
-    def _wire_us(self) -> float:
-        return self._delay.lognormal(c.WORKER_DELAY_US, c.WORKER_DELAY_SIGMA)
-
-    def _start(self, out: ports.Start) -> None:
-        key, began = (out.id, out.number), self.world.now
-        self._out[key] = ""
-        server = self._servers.get(out.worker)
-        if server is None or server.refuses() or self._open.get(out.worker, 0) >= self.plan.connections:
-            self.world.after(c.CONNECT_REFUSED_US, self._no_connection, self.life, key, began)
+    def _worker_delay_us(self) -> float:
+        return self._network_random.lognormal(c.WORKER_DELAY_US, c.WORKER_DELAY_SIGMA)
+
+    def _start(self, start: ports.Start) -> None:
+        key, started_at = (start.id, start.number), self.world.now
+        self._in_flight[key] = ""
+        server = self._servers.get(start.worker)
+        if (
+            server is None
+            or server.refuses()
+            or self._connections.get(start.worker, 0) >= self.plan.connections
+        ):
+            self.world.after(c.CONNECT_REFUSED_US, self._no_connection, self.incarnation, key, started_at)
             return
-        self._open[out.worker] = self._open.get(out.worker, 0) + 1
-        self._out[key] = out.worker
-        trigger = out.trigger
+        self._connections[start.worker] = self._connections.get(start.worker, 0) + 1
+        self._in_flight[key] = start.worker
+        trigger = start.trigger
         work = Work(
-            f"{self.name}/{out.id}/{out.number}", trigger.function, 0.0, trigger.memory_mb or 100.0,
+            f"{self.name}/{start.id}/{start.number}", trigger.function, 0.0, trigger.memory_mb or 100.0,
             max(1, trigger.lanes), trigger.key, trigger.request_class,
         )  # fmt: skip
-        life = self.life
+        incarnation = self.incarnation
 
-        def told(answer: Answer) -> None:
-            self.world.after(self._wire_us(), self._answered, life, out, key, began, answer)
+        def on_answer(answer: Answer) -> None:
+            self.world.after(
+                self._worker_delay_us(), self._on_answer, incarnation, start, key, started_at, answer
+            )
 
-        self.world.after(self._wire_us(), server.run, self.name, work.id, work, told)
+        self.world.after(self._worker_delay_us(), server.run, self.name, work.id, work, on_answer)
 
-    def _no_connection(self, life: int, key: tuple[str, int], began: int) -> None:
-        if life == self.life:
-            end = ports.AttemptEnd(*key, Status.CONNECT_FAILED, Ran.NEVER, latency_us=self.world.now - began)
-            self._end(*key, end)
+    def _no_connection(self, incarnation: int, key: tuple[str, int], started_at: int) -> None:
+        if incarnation == self.incarnation:
+            end = ports.AttemptEnd(
+                *key, Status.CONNECT_FAILED, Ran.NEVER, latency_us=self.world.now - started_at
+            )
+            self._end_attempt(*key, end)
 
-    def _answered(
-        self, life: int, out: ports.Start, key: tuple[str, int], began: int, answer: Answer
+    def _on_answer(
+        self, incarnation: int, start: ports.Start, key: tuple[str, int], started_at: int, answer: Answer
     ) -> None:
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
-        if key not in self._out:
+        if key not in self._in_flight:
             return
-        latency = self.world.now - began
+        latency = self.world.now - started_at
         if answer.lost:
-            self._end(*key, ports.AttemptEnd(*key, Status.RESET, Ran.MAYBE, latency_us=latency))
+            self._end_attempt(*key, ports.AttemptEnd(*key, Status.RESET, Ran.MAYBE, latency_us=latency))
             return
-        if len(answer.body) > ANSWER_BYTES:
+        if len(answer.body) > MAX_ANSWER_BYTES:
             end = ports.AttemptEnd(*key, Status.ERROR, Ran.MAYBE, latency_us=latency, too_large=True)
-            self._end(*key, end)
+            self._end_attempt(*key, end)
             return
         status, ran = {
             "": (Status.OK, Ran.YES),
@@ -239,34 +252,35 @@
         }.get(answer.verdict, (Status.ERROR, Ran.MAYBE))
         end = ports.AttemptEnd(
             *key, status, ran, answer.body if status is Status.OK else b"", latency,
-            _FOUND.get(answer.found, 0), answer.crowd, float(answer.held), answer.draining,
+            _COPY_STATES.get(answer.copy_state, 0), answer.function_calls_waiting,
+            float(answer.worker_calls_held), answer.draining,
             started_us=answer.started_us, answered=True,
         )  # fmt: skip
-        self._end(*key, end)
+        self._end_attempt(*key, end)
 
-    def _end(self, id_: str, number: int, end: ports.AttemptEnd) -> None:
-        # An attempt that is given up closes its connection; what the worker has of it, it runs on.
-        worker = self._out.pop((id_, number), "")
+    def _end_attempt(self, id_: str, number: int, end: ports.AttemptEnd) -> None:
+        # An abandoned attempt closes its connection; the worker still runs the calls it has received.
+        worker = self._in_flight.pop((id_, number), "")
         if worker:
-            self._open[worker] -= 1
+            self._connections[worker] -= 1
         self.enqueue(end)
 
-    def _order(self, out: ports.Order) -> None:
-        server, life, began = self._servers.get(out.worker), self.life, self.world.now
+    def _order(self, order: ports.Order) -> None:
+        server, incarnation, started_at = self._servers.get(order.worker), self.incarnation, self.world.now
         state = {"over": False}
 
         def end(status: Status, answer: Answer | None) -> None:
-            if state["over"] or life != self.life:
+            if state["over"] or incarnation != self.incarnation:
                 return
             state["over"] = True
-            latency = self.world.now - began
+            latency = self.world.now - started_at
             if answer is None:
-                self.enqueue(ports.OrderEnd(out.number, status, 0, latency))
+                self.enqueue(ports.OrderEnd(order.number, status, 0, latency))
                 return
-            found = {"": Status.OK, "full": Status.FULL, "draining": Status.FULL}
+            statuses = {"": Status.OK, "full": Status.FULL, "draining": Status.FULL}
             self.enqueue(
                 ports.OrderEnd(
-                    out.number, found.get(answer.verdict, Status.ERROR), answer.copies, latency,
+                    order.number, statuses.get(answer.verdict, Status.ERROR), answer.copies, latency,
                     answer.draining, answer.started_us, True,
                 )
             )  # fmt: skip
@@ -275,48 +289,55 @@
             self.world.after(c.CONNECT_REFUSED_US, end, Status.CONNECT_FAILED, None)
             return
 
-        def told(answer: Answer) -> None:
-            self.world.after(self._wire_us(), end, Status.RESET, None if answer.lost else answer)
+        def on_answer(answer: Answer) -> None:
+            self.world.after(self._worker_delay_us(), end, Status.RESET, None if answer.lost else answer)
 
         self.world.after(
-            self._wire_us(), server.order, self.name, out.function, out.copies, out.memory_mb, out.lanes, told
+            self._worker_delay_us(),
+            server.order,
+            self.name,
+            order.function,
+            order.copies,
+            order.memory_mb,
+            order.lanes,
+            on_answer,
         )
-        self.world.after(ORDER_US, end, Status.TIMEOUT, None)
+        self.world.after(ORDER_TIMEOUT_US, end, Status.TIMEOUT, None)
 
-    def _ask(self, out: ports.Ask) -> None:
-        server, life = self._servers.get(out.worker), self.life
+    def _probe(self, probe: ports.Ask) -> None:
+        server, incarnation = self._servers.get(probe.worker), self.incarnation
         state = {"over": False}
 
         def end(answer: Answer | None) -> None:
-            if state["over"] or life != self.life:
+            if state["over"] or incarnation != self.incarnation:
                 return
             state["over"] = True
-            heard = answer is not None and not answer.lost
+            answered = answer is not None and not answer.lost
             draining = bool(answer and answer.draining)
             self.enqueue(
-                ports.Asked(out.worker, heard, draining, answer.started_us if answer and heard else 0)
+                ports.Asked(probe.worker, answered, draining, answer.started_us if answer and answered else 0)
             )
 
         if server is None or server.refuses():
             self.world.after(c.CONNECT_REFUSED_US, end, None)
             return
 
-        def told(answer: Answer) -> None:
-            self.world.after(self._wire_us(), end, answer)
+        def on_answer(answer: Answer) -> None:
+            self.world.after(self._worker_delay_us(), end, answer)
 
-        self.world.after(self._wire_us(), server.order, self.name, "-", 0, 0.0, 1, told)
-        self.world.after(out.timeout_us, end, None)
+        self.world.after(self._worker_delay_us(), server.order, self.name, "-", 0, 0.0, 1, on_answer)
+        self.world.after(probe.timeout_us, end, None)
 
-    # What fronts use.
+    # Interface to the fronts.
 
     def effect(self, request_class: str) -> Effect | None:
-        """What a repeat of a class does."""
+        """Returns the effect of a request class, None if it is unknown."""
         return self._effects.get(request_class)
 
     def submit(self, trigger: Trigger) -> None:
-        """Take a trigger, whose `ref` hears of its answer."""
+        """Takes a trigger, whose `ref` receives the answer."""
         self.enqueue(ports.Arrive(trigger))
 
-    def client_us(self) -> float:
-        """A message's way between this gateway and a client or a broker."""
-        return self._delay.lognormal(c.CLIENT_DELAY_US, c.CLIENT_DELAY_SIGMA)
+    def client_delay_us(self) -> float:
+        """Draws the one-way delay of a message between this gateway and a client or broker."""
+        return self._network_random.lognormal(c.CLIENT_DELAY_US, c.CLIENT_DELAY_SIGMA)
--- a/swiftwell/lab/servers.py
+++ b/swiftwell/lab/servers.py
@@ -1,4 +1,4 @@
-"""Calc servers and their model store in virtual time: the stand-ins' model, with the stand-ins' faults."""
+"""Emulates calc servers and their model store in virtual time, with the model and faults of the stand-ins."""
 
 from __future__ import annotations
 
@@ -11,205 +11,216 @@
 from swiftwell.standins.model import CalcServer, Done, Effect, Failed, Fell, Fetch, Machine, Stand, Work
 
 FOREVER_S = 3_600.0
-WARM_FOR_US = 172_800_000_000  # us that a server which is warm from the start has been up
-STOP_AFTER_US, STOPPED_US = 2_000_000, 5_000_000  # standins/store.py
+WARM_UPTIME_US = 172_800_000_000  # uptime of a server that is warm from the start
+OVERLOAD_LIMIT_US, STOPPED_US = 2_000_000, 5_000_000  # as in standins/store.py
 
 
 class Store:
-    """The model store: all fetches share its pace, past `most` they are refused, and under a lasting crowd it
-    stops."""
-
-    def __init__(self, world: World, fetch_us: float, room: int, most: int) -> None:
-        self._world, self._fetch_us, self._room, self._most = world, fetch_us, room, most
-        self._here: list[list] = []  # [us left, told]
-        self._at = world.now
-        self._turn = 0
+    """The model store.
+
+    Up to `capacity` fetches run at full speed; more of them share its rate.  Past `max_fetches` they are
+    refused, and when overload lasts for OVERLOAD_LIMIT_US the store stops for STOPPED_US.
+    """
+
+    def __init__(self, world: World, fetch_us: float, capacity: int, max_fetches: int) -> None:
+        self._world, self._fetch_us, self._capacity, self._max_fetches = (
+            world, fetch_us, capacity, max_fetches,
+        )  # fmt: skip
+        self._fetches: list[list] = []  # [remaining us, on_result]
+        self._advanced_at = world.now
+        self._timer_version = 0
         self._stopped_until = 0
-        self._pushed_since = 0
-        self.slow = 1.0
+        self._overloaded_since = 0
+        self.slowdown = 1.0
 
     def fault(self, name: str, for_s: float, times: float = 5.0) -> None:
-        """stop or slow."""
+        """Injects a fault, "stop" or "slow"."""
         self._world.note("fault", "store", worker="store", fault=name, for_s=for_s)
         self._advance()
         if name == "stop":
             self._stopped_until = self._world.now + int(for_s * 1e6)
         else:
-            self.slow = times
-            self._world.after(for_s * 1e6, self._normal)
+            self.slowdown = times
+            self._world.after(for_s * 1e6, self._end_slowdown)
         self._arm()
 
-    def _normal(self) -> None:
+    def _end_slowdown(self) -> None:
         self._advance()
-        self.slow = 1.0
+        self.slowdown = 1.0
         self._arm()
 
-    def fetch(self, function: str, told: Callable[[bool], None]) -> None:
-        """Fetch a model; `told` hears whether it came."""
+    def fetch(self, function: str, on_result: Callable[[bool], None]) -> None:
+        """Fetches a model; `on_result` receives whether that succeeded."""
         self._advance()
-        if len(self._here) >= self._most:
+        if len(self._fetches) >= self._max_fetches:
             self._world.note("store-refused", "store")
-            self._world.after(0, told, False)
+            self._world.after(0, on_result, False)
             return
         self._world.note("fetch", "store", function=function)
-        self._here.append([self._fetch_us, told])
+        self._fetches.append([self._fetch_us, on_result])
         self._arm()
 
-    def _pace(self) -> float:
-        return 1.0 / max(1.0, len(self._here) / self._room) / self.slow
+    def _rate_per_fetch(self) -> float:
+        return 1.0 / max(1.0, len(self._fetches) / self._capacity) / self.slowdown
 
     def _advance(self) -> None:
-        """Let the time since the last look pass for all."""
+        """Accounts for the time since the last call in all fetches."""
         world = self._world
-        since, self._at = max(self._at, min(world.now, self._stopped_until)), world.now
-        spent = max(0, world.now - since) * self._pace()
-        for one in self._here:
-            one[0] -= spent
-        if len(self._here) > 3 * self._room:
-            self._pushed_since = self._pushed_since or world.now
-            if world.now - self._pushed_since > STOP_AFTER_US:
+        start, self._advanced_at = max(self._advanced_at, min(world.now, self._stopped_until)), world.now
+        elapsed = max(0, world.now - start) * self._rate_per_fetch()
+        for fetch in self._fetches:
+            fetch[0] -= elapsed
+        if len(self._fetches) > 3 * self._capacity:
+            self._overloaded_since = self._overloaded_since or world.now
+            if world.now - self._overloaded_since > OVERLOAD_LIMIT_US:
                 world.note("store-stopped", "store")
-                self._stopped_until, self._pushed_since = world.now + STOPPED_US, 0
+                self._stopped_until, self._overloaded_since = world.now + STOPPED_US, 0
         else:
-            self._pushed_since = 0
+            self._overloaded_since = 0
 
     def _arm(self) -> None:
-        self._turn += 1
-        if self._here:
-            least = max(0.0, min(one[0] for one in self._here)) / self._pace()
-            due = max(self._world.now, self._stopped_until) + math.ceil(least)
-            self._world.at(due, self._ended, self._turn)
-
-    def _ended(self, turn: int) -> None:
-        if turn != self._turn:
+        self._timer_version += 1
+        if self._fetches:
+            shortest = max(0.0, min(fetch[0] for fetch in self._fetches)) / self._rate_per_fetch()
+            due_at = max(self._world.now, self._stopped_until) + math.ceil(shortest)
+            self._world.at(due_at, self._on_timer, self._timer_version)
+
+    def _on_timer(self, timer_version: int) -> None:
+        if timer_version != self._timer_version:
             return
         self._advance()
-        done = [one for one in self._here if one[0] <= 0.5]
-        self._here = [one for one in self._here if one[0] > 0.5]
+        finished = [fetch for fetch in self._fetches if fetch[0] <= 0.5]
+        self._fetches = [fetch for fetch in self._fetches if fetch[0] > 0.5]
         self._arm()
-        for _, told in done:
-            told(True)
+        for _, on_result in finished:
+            on_result(True)
 
 
 @dataclass(slots=True, eq=False)
 class Answer:
-    """What a server says of a call, an order or a question; `lost`: nothing comes, the connection ends."""
+    """A server's answer to a call, load order or query; `lost`: the connection ends without an answer."""
 
     verdict: str = ""  # "", "full", "draining", "miss", "error"
-    found: str = ""
-    held: int = 0
-    crowd: int = 0
+    copy_state: str = ""
+    worker_calls_held: int = 0
+    function_calls_waiting: int = 0
     copies: int = 0
     draining: bool = False
     body: bytes = b""
     lost: bool = False
     started_us: int = 0
-    extra: bool = False  # a second answer follows, which ends the connection
+    answered_twice: bool = False  # a second answer follows, after which the connection ends
 
 
-Told = Callable[[Answer], None]
+AnswerCallback = Callable[[Answer], None]
 
 
 class Server:
-    """One calc server.  `changed` hears of "running", "draining" and "gone", as a supervisor would see it."""
+    """One calc server.
+
+    `on_state_change` receives "running", "draining" and "gone", as a supervisor would see them.
+    """
 
     def __init__(
         self, world: World, name: str, kind: str, machine: Machine, work_us: dict[str, float], store: Store,
-        keys: OrderedDict[str, int], warm: bool, changed: Callable[[Server, str], None],
+        keys: OrderedDict[str, int], warm: bool, on_state_change: Callable[[Server, str], None],
     ) -> None:  # fmt: skip
         self.world, self.name, self.kind, self.machine = world, name, kind, machine
-        self._work_us, self._store, self._keys, self._changed = work_us, store, keys, changed
-        self._chance = world.stream(f"work/{name}")
+        self._work_us, self._store, self._keys, self._on_state_change = work_us, store, keys, on_state_change
+        self._work_random = world.stream(f"work/{name}")
         self.model = CalcServer(machine, world.now, cold=not warm, keys=keys)
-        self.started_us = world.now - (WARM_FOR_US if warm else 0)
+        self.started_us = world.now - (WARM_UPTIME_US if warm else 0)
         self.down = self.draining = False
-        self._life = 0
-        self._turn = 0
-        self._waiting: dict[Work, Told] = {}
-        self._orders: dict[str, list[Told]] = {}
-        self._full: dict[str, int] = {}
-        self._until: dict[str, int] = {}
-        self._paused: list[tuple[Callable[..., None], tuple]] = []
+        self._incarnation = 0
+        self._timer_version = 0
+        self._waiting: dict[Work, AnswerCallback] = {}
+        self._orders: dict[str, list[AnswerCallback]] = {}
+        self._full_until: dict[str, int] = {}
+        self._fault_ends: dict[str, int] = {}
+        self._paused_requests: list[tuple[Callable[..., None], tuple]] = []
 
-    # Life and faults.
+    # Process state and faults.
 
     def die(self, back_s: float = FOREVER_S) -> None:
-        """The process ends; a new one starts at its address, cold and empty."""
+        """Ends the process; after `back_s` a new one starts at its address, cold and without copies."""
         if self.down:
             return
         self.down = True
-        self._life += 1
+        self._incarnation += 1
         self._note("died")
-        waiting, orders = list(self._waiting.values()), [t for told in self._orders.values() for t in told]
+        waiting, orders = (
+            list(self._waiting.values()),
+            [entry for entries in self._orders.values() for entry in entries],
+        )
         self._waiting, self._orders = {}, {}
-        self._until.clear()
-        self._full.clear()
-        self._paused.clear()
-        for told in (*waiting, *orders):
-            told(Answer(lost=True))
-        self._changed(self, "gone")
+        self._fault_ends.clear()
+        self._full_until.clear()
+        self._paused_requests.clear()
+        for on_answer in (*waiting, *orders):
+            on_answer(Answer(lost=True))
+        self._on_state_change(self, "gone")
         if back_s < FOREVER_S:
-            self.world.after(back_s * 1e6, self._back, self._life)
+            self.world.after(back_s * 1e6, self._restart, self._incarnation)
 
-    def _back(self, life: int) -> None:
-        if life != self._life:
+    def _restart(self, incarnation: int) -> None:
+        if incarnation != self._incarnation:
             return
         self.model = CalcServer(self.machine, self.world.now, cold=True, keys=self._keys)
         self.started_us = self.world.now
         self.draining = self.down = False
         self._note("started")
-        self._changed(self, "running")
+        self._on_state_change(self, "running")
 
     def drain(self, back_s: float = FOREVER_S, end_s: float = 3.0) -> None:
-        """Finish what is here, take nothing new, end, and come back."""
+        """Stops accepting work, ends the process after `end_s` and restarts it after `back_s`."""
         if self.down or self.draining:
             return
         self.draining = True
         self._note("draining")
-        self._changed(self, "draining")
-        self.world.after(end_s * 1e6, self._drained, self._life, back_s)
+        self._on_state_change(self, "draining")
+        self.world.after(end_s * 1e6, self._drained, self._incarnation, back_s)
 
-    def _drained(self, life: int, back_s: float) -> None:
-        if life == self._life:
+    def _drained(self, incarnation: int, back_s: float) -> None:
+        if incarnation == self._incarnation:
             self.die(back_s)
 
     def fault(self, name: str, for_s: float, times: float = 5.0, request_class: str = "") -> None:
-        """As of the stand-in."""
+        """Injects a fault of the stand-in."""
         self.world.note("fault", "fleet", worker=self.name, fault=name, for_s=for_s)
-        until = self.world.now + int(for_s * 1e6)
+        fault_ends = self.world.now + int(for_s * 1e6)
         if name == "full":
-            self._full[request_class] = until
+            self._full_until[request_class] = fault_ends
             return
-        self._until[name] = until
+        self._fault_ends[name] = fault_ends
         if name in ("hang", "pause"):
-            self._carry(self.model.advance(self.world.now))
+            self._apply_effects(self.model.advance(self.world.now))
             self.model.frozen = True
-            self.world.at(until, self._thaw, self._life)
+            self.world.at(fault_ends, self._resume, self._incarnation)
         elif name == "slow":
-            self._carry(self.model.advance(self.world.now))
+            self._apply_effects(self.model.advance(self.world.now))
             self.model.slow = times
-            self.world.at(until, self._normal, self._life)
+            self.world.at(fault_ends, self._end_slowdown, self._incarnation)
 
-    def _thaw(self, life: int) -> None:
-        if life == self._life:
+    def _resume(self, incarnation: int) -> None:
+        if incarnation == self._incarnation:
             self.model.advance(self.world.now)
             self.model.frozen = False
-            paused, self._paused = self._paused, []
-            for act, args in paused:
-                act(*args)
+            paused, self._paused_requests = self._paused_requests, []
+            for receive, args in paused:
+                receive(*args)
             self._arm()
 
-    def _normal(self, life: int) -> None:
-        if life == self._life:
-            self._carry(self.model.advance(self.world.now))
+    def _end_slowdown(self, incarnation: int) -> None:
+        if incarnation == self._incarnation:
+            self._apply_effects(self.model.advance(self.world.now))
             self.model.slow = 1.0
             self._arm()
 
     def _has(self, fault: str) -> bool:
-        return self.world.now < self._until.get(fault, 0)
+        return self.world.now < self._fault_ends.get(fault, 0)
 
     def refuses(self) -> bool:
-        """Nothing listens here now."""
+        """Whether connections are refused now."""
         return self.down or self._has("refuse")
 
     def _note(self, ev: str, **fields: object) -> None:
@@ -217,52 +228,54 @@
 
     # Serving.
 
-    def run(self, gw: str, call: str, work: Work, told: Told) -> None:
-        """A call comes; `told` hears once."""
+    def run(self, gw: str, call: str, work: Work, on_answer: AnswerCallback) -> None:
+        """Receives a call; `on_answer` is called at most once."""
         if self._has("pause"):
-            self._paused.append((self.run, (gw, call, work, told)))
+            self._paused_requests.append((self.run, (gw, call, work, on_answer)))
             return
         if self.refuses():
-            told(Answer(lost=True))
+            on_answer(Answer(lost=True))
             return
         self._note("recv", gw=gw, call=call, key=work.key, band=work.request_class, function=work.function)
         mean = self._work_us.get(work.request_class, self._work_us.get("", 100_000.0))
-        work.work_us = self._chance.uniform(0.5, 1.5) * mean
+        work.work_us = self._work_random.uniform(0.5, 1.5) * mean
         verdict = self._refusal(work.request_class)
         if not verdict:
-            self._waiting[work] = told
-            taken, effects = self.model.arrive(self.world.now, work)
-            verdict = "" if taken == "taken" else taken
+            self._waiting[work] = on_answer
+            model_verdict, effects = self.model.arrive(self.world.now, work)
+            verdict = "" if model_verdict == "taken" else model_verdict
             if verdict:
                 self._waiting.pop(work, None)
-            if self._carry(effects):
+            if self._apply_effects(effects):
                 if verdict:
-                    told(Answer(lost=True))  # pushed over by this very call
+                    on_answer(Answer(lost=True))  # this call crashed the server
                 return
         if verdict:
             self._note("turned", gw=gw, call=call, verdict=verdict)
-            told(self._answer(verdict, work))
+            on_answer(self._answer(verdict, work))
 
     def _refusal(self, request_class: str) -> str:
         if self.draining:
             return "draining"
-        until = max(self._full.get(request_class, 0), self._full.get("", 0))
-        return "full" if self.world.now < until else ""
+        fault_ends = max(self._full_until.get(request_class, 0), self._full_until.get("", 0))
+        return "full" if self.world.now < fault_ends else ""
 
     def _answer(self, verdict: str, work: Work | None = None) -> Answer:
-        crowd = work.crowd if work else 0
+        function_calls_waiting = work.crowd if work else 0
         return Answer(
-            verdict, held=self.model.held, crowd=crowd, draining=verdict == "draining",
-            started_us=self.started_us,
+            verdict, worker_calls_held=self.model.held, function_calls_waiting=function_calls_waiting,
+            draining=verdict == "draining", started_us=self.started_us,
         )  # fmt: skip
 
-    def order(self, gw: str, function: str, copies: int, memory: float, lanes: int, told: Told) -> None:
-        """An order to load, or with 0 copies a question."""
+    def order(
+        self, gw: str, function: str, copies: int, memory: float, lanes: int, on_answer: AnswerCallback
+    ) -> None:
+        """Receives a load order, or with 0 copies a query."""
         if self._has("pause"):
-            self._paused.append((self.order, (gw, function, copies, memory, lanes, told)))
+            self._paused_requests.append((self.order, (gw, function, copies, memory, lanes, on_answer)))
             return
         if self.refuses():
-            told(Answer(lost=True))
+            on_answer(Answer(lost=True))
             return
         if not copies:
             self._note("asked", gw=gw)
@@ -270,47 +283,50 @@
             answer.copies, answer.draining = self.model.copies(function), self.draining
             if self.draining:
                 self._note("turned", gw=gw, call="ask", verdict="draining")
-            told(answer)
+            on_answer(answer)
             return
         self._note("order", gw=gw, function=function)
         if self.draining:
             self._note("turned", gw=gw, call="order", verdict="draining")
-            told(self._answer("draining"))
+            on_answer(self._answer("draining"))
             return
         state, effects = self.model.hold(self.world.now, function, copies, memory, lanes)
         if state == "coming":
-            self._orders.setdefault(function, []).append(told)
-        if self._carry(effects):
+            self._orders.setdefault(function, []).append(on_answer)
+        if self._apply_effects(effects):
             return
         if state == "full":
-            told(self._answer("full"))
+            on_answer(self._answer("full"))
         elif state == "stands":
-            self._stands(function, told)
+            self._confirm_order(function, on_answer)
 
-    def _stands(self, function: str, told: Told) -> None:
+    def _confirm_order(self, function: str, on_answer: AnswerCallback) -> None:
         answer = self._answer("")
         answer.copies = self.model.copies(function)
-        told(answer)
+        on_answer(answer)
 
-    def _carry(self, effects: list[Effect]) -> bool:
-        """Carry out what the model wants; whether it fell over."""
+    def _apply_effects(self, effects: list[Effect]) -> bool:
+        """Applies the model's effects; returns whether the server crashed."""
         for effect in effects:
             match effect:
                 case Fetch():
                     self._store.fetch(
-                        effect.function, lambda ok, f=effect.function, n=self._life: self._fetched(f, n, ok)
+                        effect.function,
+                        lambda ok, function=effect.function, incarnation=self._incarnation: self._fetched(
+                            function, incarnation, ok
+                        ),
                     )
                 case Done():
                     self._done(effect.work)
                 case Failed():
-                    if told := self._waiting.pop(effect.work, None):
-                        told(self._answer("error", effect.work))
+                    if on_answer := self._waiting.pop(effect.work, None):
+                        on_answer(self._answer("error", effect.work))
                 case Stand():
-                    for told in self._orders.pop(effect.function, ()):
+                    for on_answer in self._orders.pop(effect.function, ()):
                         if effect.ok:
-                            self._stands(effect.function, told)
+                            self._confirm_order(effect.function, on_answer)
                         else:
-                            told(self._answer("error"))
+                            on_answer(self._answer("error"))
                 case Fell():
                     self._note("fell")
                     self.die()
@@ -318,40 +334,40 @@
         self._arm()
         return False
 
-    def _fetched(self, function: str, life: int, ok: bool) -> None:
-        if life == self._life and not self.down:
-            self._carry(self.model.fetched(self.world.now, function, ok))
+    def _fetched(self, function: str, incarnation: int, ok: bool) -> None:
+        if incarnation == self._incarnation and not self.down:
+            self._apply_effects(self.model.fetched(self.world.now, function, ok))
 
     def _done(self, work: Work) -> None:
         if not work.repeated:
             self._note("ran", call=work.id, key=work.key, band=work.request_class, found=work.found)
-        told = self._waiting.pop(work, None)
-        if self._has("die_after"):  # after the effect, before its answer
-            del self._until["die_after"]
-            if told:
-                told(Answer(lost=True))
+        on_answer = self._waiting.pop(work, None)
+        if self._has("die_after"):  # after the effect, before the answer
+            del self._fault_ends["die_after"]
+            if on_answer:
+                on_answer(Answer(lost=True))
             self.die(2.0)
             return
-        if told is None:
+        if on_answer is None:
             return
         if self._has("mute"):
-            self._note("muted", call=work.id)  # the answer is lost; the connection stays open
+            self._note("muted", call=work.id)  # no answer is sent; the connection stays open
             return
         answer = self._answer("", work)
-        answer.found, answer.body = work.found, f"{work.function} {work.id}".encode()
-        answer.lost, answer.extra = self._has("reset"), self._has("twice")
+        answer.copy_state, answer.body = work.found, f"{work.function} {work.id}".encode()
+        answer.lost, answer.answered_twice = self._has("reset"), self._has("twice")
         if self._has("large"):
             answer.body = bytes(4_000_000)
-        told(answer)
+        on_answer(answer)
 
     def _arm(self) -> None:
-        self._turn += 1
+        self._timer_version += 1
         if self.down:
             return
-        due = self.model.next(self.world.now)
-        if due is not None:
-            self.world.at(due, self._tick, self._turn, self._life)
+        due_at = self.model.next(self.world.now)
+        if due_at is not None:
+            self.world.at(due_at, self._on_timer, self._timer_version, self._incarnation)
 
-    def _tick(self, turn: int, life: int) -> None:
-        if turn == self._turn and life == self._life:
-            self._carry(self.model.advance(self.world.now))
+    def _on_timer(self, timer_version: int, incarnation: int) -> None:
+        if timer_version == self._timer_version and incarnation == self._incarnation:
+            self._apply_effects(self.model.advance(self.world.now))
