--- a/swiftwell/lab/clients.py
+++ b/swiftwell/lab/clients.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from swiftwell.lab import constants as c
+from swiftwell.lab import constants
 from swiftwell.lab.fronts import AmqpBroker, Endpoint, Message, MqttBroker
 from swiftwell.lab.world import World
 from swiftwell.standins.publishers import Habit, Plan
@@ -16,17 +16,21 @@
 
 @dataclass(slots=True, eq=False)
 class _Call:
+    """A publisher's call, with its state over all tries."""
+
     key: str
     habit: Habit
     function: str
     client: int
     tries: int = 0
-    unanswered: bool = False
+    unanswered: bool = False  # a try ended without a refusal; it may have run
     awaited_corr: str = ""  # the try whose answer is awaited
 
 
 @dataclass(slots=True, eq=False)
 class _Client:
+    """A client of the crowd with its connection."""
+
     number: int
     gateway: int = -1  # -1: not connected, or connected to a broker
     up: bool = False
@@ -46,7 +50,7 @@
         self._behaviour_random = world.stream(f"habits/{name}")
         self._reconnect_random = world.stream(f"waits/{name}")
         self._clients = [_Client(number) for number in range(plan.clients)]
-        self._number = 0
+        self._call_count = 0
         self.open_calls = 0  # calls without a final result
         self.arrivals_ended = False  # no call arrives any more
         self.on_finished: Callable[[], None] = lambda: None  # called when arrivals and all calls have ended
@@ -56,16 +60,18 @@
         """Connects all clients and starts to publish."""
         if isinstance(self._front, Endpoint):
             for index, gateway in enumerate(self._front.gateways):
-                gateway.lifecycle_listeners.append(lambda up, i=index: None if up else self._lost(i))
+                gateway.lifecycle_listeners.append(
+                    lambda up, i=index: None if up else self._on_gateway_down(i)
+                )
             for client in self._clients:
                 client.next_gateway = client.number
                 self._connect(client)
         else:
             for client in self._clients:
                 client.up = True
-                self._connected(client, "127.0.0.1:1")
+                self._record_connected(client, "127.0.0.1:1")
         self._started_at = self.world.now
-        self._next(0.0)
+        self._schedule_arrival(0.0)
 
     # Connections.
 
@@ -77,26 +83,26 @@
         client.next_gateway += len(front.gateways) > 1
         if not gateway.up:
             self.world.after(
-                self._reconnect_random.uniform(*c.RECONNECT_RANGE_S) * 1e6, self._connect, client
+                self._reconnect_random.uniform(*constants.RECONNECT_RANGE_S) * 1e6, self._connect, client
             )
             return
         client.gateway, client.up = index, True
-        self._connected(client, f"127.0.0.1:{gateway.port}")
+        self._record_connected(client, f"127.0.0.1:{gateway.port}")
         for message in list(client.unacked.values()):  # may go to another gateway than before
             message.attempt, message.unanswered = max(1, message.attempt), True
             front.publish(index, message, True)
 
-    def _connected(self, client: _Client, to: str) -> None:
-        self.world.note("connected", "publishers", client=self._client_name(client.number), to=to)
+    def _record_connected(self, client: _Client, to: str) -> None:
+        self.world.record("connected", "publishers", client=self._client_name(client.number), to=to)
 
-    def _lost(self, index: int) -> None:
+    def _on_gateway_down(self, index: int) -> None:
         for client in self._clients:
             if client.up and client.gateway == index:
                 client.up, client.gateway = False, -1
                 name = self._client_name(client.number)
-                self.world.note("disconnected", "publishers", client=name, why="closed by the peer")
+                self.world.record("disconnected", "publishers", client=name, why="closed by the peer")
                 self.world.after(
-                    self._reconnect_random.uniform(*c.RECONNECT_RANGE_S) * 1e6, self._connect, client
+                    self._reconnect_random.uniform(*constants.RECONNECT_RANGE_S) * 1e6, self._connect, client
                 )
 
     def _client_name(self, number: int) -> str:
@@ -104,7 +110,7 @@
 
     # Calls.
 
-    def _next(self, at_s: float) -> None:
+    def _schedule_arrival(self, at_s: float) -> None:
         """Schedules the next arrival, independent of answers."""
         rate_factor = 1.0
         for start, length, factor in self._plan.bursts:
@@ -120,7 +126,7 @@
 
     def _arrive(self, at_s: float) -> None:
         self.open_calls += 1  # before `_next`, which ends the crowd when no call is open
-        self._next(at_s)
+        self._schedule_arrival(at_s)
         plan, call_random = self._plan, self._call_random
         pick = call_random.uniform(0, sum(habit.share for habit in plan.habits))
         habit = plan.habits[-1]
@@ -129,23 +135,23 @@
             if pick < 0:
                 habit = candidate
                 break
-        self._number += 1
+        self._call_count += 1
         if call_random.uniform() < plan.one_off:
-            function = f"once/{self._name}-{self._number}"
+            function = f"once/{self._name}-{self._call_count}"
         else:
             rank = int(habit.functions ** call_random.uniform()) - 1
             function = f"heat/{habit.request_class}-{rank}"
         client = call_random.below(len(self._clients))
-        self._try(_Call(f"{self._name}-{self._number}", habit, function, client))
+        self._start_try(_Call(f"{self._name}-{self._call_count}", habit, function, client))
 
-    def _try(self, call: _Call) -> None:
+    def _start_try(self, call: _Call) -> None:
         behaviour_random, habit, attempt = self._behaviour_random, call.habit, call.tries
         call.tries += 1
         timeout_s = habit.patience_s * (1.0 if attempt == 0 else behaviour_random.uniform(0.5, 1.0))
         leaves = behaviour_random.uniform() < self._plan.leave
         client = self._clients[call.client]
         if not client.up:
-            self.world.note("unsent", "publishers", key=call.key)
+            self.world.record("unsent", "publishers", key=call.key)
             self.world.after(timeout_s / 2 * 1e6, self._end_try, call, "unsent")
             return
         corr = f"{call.key}.{attempt}"
@@ -153,27 +159,27 @@
         now = self.world.now
         message = Message(
             name, corr, call.key, habit.request_class, habit.tenant, call.function, now, int(timeout_s * 1e6),
-            lambda m, kind, reason, dup: self._answer(call, m, kind, reason, dup), attempt=attempt,
-            unanswered=call.unanswered, qos=habit.qos, priority=min(9, round(habit.worth)),
+            lambda answered, kind, reason, dup: self._answer(call, answered, kind, reason, dup),
+            attempt=attempt, unanswered=call.unanswered, qos=habit.qos, priority=min(9, round(habit.worth)),
         )  # fmt: skip
         if leaves:
             gateway = client.gateway if isinstance(self._front, Endpoint) else -1
             to = self._front.gateways[gateway].port if isinstance(self._front, Endpoint) else 1
-            self.world.note("connected", "publishers", client=name, to=f"127.0.0.1:{to}")
-        self.world.note(
+            self.world.record("connected", "publishers", client=name, to=f"127.0.0.1:{to}")
+        self.world.record(
             "try", "publishers", client=name, corr=corr, key=call.key,
             band=habit.request_class, tenant=habit.tenant, function=call.function, number=attempt,
             until=now + message.timeout_us, worth=habit.worth, wanted=int(habit.wanted_s * 1e6),
         )  # fmt: skip
         if leaves:
-            self.world.note("left", "publishers", corr=corr)
+            self.world.record("left", "publishers", corr=corr)
             message.on_answer = lambda *args: None
             self._send(client, message)
             self._end_try(call, "left")
             return
         call.awaited_corr = corr
         client.unacked[corr] = message
-        message.on_ack = lambda m: client.unacked.pop(m.corr, None) and None
+        message.on_ack = lambda acked: client.unacked.pop(acked.corr, None) and None
         self._send(client, message)
         self.world.after(message.timeout_us, self._on_timeout, call, corr)
 
@@ -181,10 +187,10 @@
         if isinstance(self._front, Endpoint):
             self._front.publish(client.gateway, message)
         else:
-            self.world.after(c.CLIENT_DELAY_US, self._front.publish, message)
+            self.world.after(constants.CLIENT_DELAY_US, self._front.publish, message)
 
     def _answer(self, call: _Call, message: Message, kind: str, reason: str, dup: bool) -> None:
-        self.world.note("answer", "publishers", corr=message.corr, kind=kind, reason=reason, dup=dup)
+        self.world.record("answer", "publishers", corr=message.corr, kind=kind, reason=reason, dup=dup)
         if call.awaited_corr == message.corr:
             call.awaited_corr = ""
             self._end_try(call, kind, message.retry_after_us if kind == "refused" else 0)
@@ -193,7 +199,7 @@
         self._clients[call.client].unacked.pop(corr, None)
         if call.awaited_corr == corr:
             call.awaited_corr = ""
-            self.world.note("gave-up", "publishers", corr=corr)
+            self.world.record("gave-up", "publishers", corr=corr)
             self._end_try(call, "gave-up")
 
     def _end_try(self, call: _Call, outcome: str, retry_after_us: int = 0) -> None:
@@ -210,4 +216,4 @@
             wait_us: float = retry_after_us
         else:
             wait_us = self._plan.retry_s * self._behaviour_random.uniform(0.5, 1.5) * 1e6
-        self.world.after(wait_us, self._try, call)
+        self.world.after(wait_us, self._start_try, call)
--- a/swiftwell/lab/emulator.py
+++ b/swiftwell/lab/emulator.py
@@ -14,7 +14,7 @@
 from swiftwell import interface as io
 from swiftwell.choice import Router
 from swiftwell.gateway.ports import Listed
-from swiftwell.lab import constants as c
+from swiftwell.lab import constants
 from swiftwell.lab.clients import Crowd
 from swiftwell.lab.fronts import AmqpBroker, Endpoint, MqttBroker
 from swiftwell.lab.gateway import Gateway, Plan, RouterFactory
@@ -60,7 +60,7 @@
 
         down, hang, cut, malformed and back give no usable answer; empty and half give a wrong one.
         """
-        self._world.note("fault", "list", worker="list", fault=name, for_s=for_s)
+        self._world.record("fault", "list", worker="list", fault=name, for_s=for_s)
         self._faults[name] = self._world.now + int(for_s * 1e6)
         self._world.after(for_s * 1e6 + 50_000, self.answer_all)
         if name in ("empty", "half"):
@@ -80,7 +80,7 @@
             return
         self._answering.add(gateway.name)
         self._world.after(
-            c.LIST_ANSWER_US + gateway.client_delay_us(), self._answer, gateway, gateway.incarnation
+            constants.LIST_ANSWER_US + gateway.client_delay_us(), self._answer, gateway, gateway.incarnation
         )
 
     def _answer(self, gateway: Gateway, incarnation: int) -> None:
@@ -98,10 +98,12 @@
             return
         for worker, (state, started) in current.items():
             if previous.get(worker) != current[worker]:
-                self._world.note("told", "list", gw=gateway.name, worker=worker, state=state, started=started)
+                self._world.record(
+                    "told", "list", gw=gateway.name, worker=worker, state=state, started=started
+                )
         for worker in previous:
             if worker not in current:
-                self._world.note("told", "list", gw=gateway.name, worker=worker, state="gone", started=0)
+                self._world.record("told", "list", gw=gateway.name, worker=worker, state="gone", started=0)
         self._sent_lists[gateway.name] = current
         states = {"running": io.State.READY, "draining": io.State.DRAINING}
         if current != self._last_states:
--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -17,7 +17,7 @@
 from swiftwell.fronts.amqp.redelivery import Delivery, RedeliveryPolicy, may_have_run
 from swiftwell.fronts.trigger import Answer, Kind, Trigger
 from swiftwell.interface import Effect
-from swiftwell.lab import constants as c
+from swiftwell.lab import constants
 from swiftwell.lab.gateway import Gateway
 from swiftwell.lab.world import World
 
@@ -60,8 +60,8 @@
     incarnation: int
     on_accepted: Callable[[Origin], None]
     on_replied: Callable[[Origin, Answer], None]
-    acked: bool = False
-    redelivered_tags: list[Any] = field(default_factory=list)
+    acked: bool = False  # the delivery has been acknowledged
+    redelivered_tags: list[Any] = field(default_factory=list)  # AMQP tags to acknowledge with it
 
     def accepted(self, trigger: Trigger) -> None:
         self.on_accepted(self)
@@ -154,13 +154,13 @@
     def fault(self, name: str, for_s: float, keep: bool = True, lose_s: float = 0.0) -> None:
         """Injects "restart" or "stall"; the stand-in's faults of acknowledgements aren't modelled."""
         world = self.world
-        world.note("fault", "broker", worker="broker", fault=name, for_s=for_s)
+        world.record("fault", "broker", worker="broker", fault=name, for_s=for_s)
         if name not in ("restart", "stall"):
             return
         self._unavailable_until = world.now + int(for_s * 1e6)
         if name == "restart":
-            world.note("broker-down", "broker", keep=keep)
-            world.at(self._unavailable_until, world.note, "broker-up", "broker")
+            world.record("broker-down", "broker", keep=keep)
+            world.at(self._unavailable_until, world.record, "broker-up", "broker")
             if not keep:
                 for session in self._sessions:
                     session.waiting.clear()
@@ -172,8 +172,8 @@
         """Receives a publisher's message."""
         if self.is_unavailable():
             return
-        self.world.note("from", "broker", client=message.client, corr=message.corr, topic=message.topic())
-        self.world.after(c.CLIENT_DELAY_US, message.on_ack, message)
+        self.world.record("from", "broker", client=message.client, corr=message.corr, topic=message.topic())
+        self.world.after(constants.CLIENT_DELAY_US, message.on_ack, message)
         up = [session for session in self._sessions if session.gateway.up] or self._sessions
         if self._share:
             self._rotation += 1
@@ -187,21 +187,21 @@
             session.waiting
             and session.gateway.up
             and not self.is_unavailable()
-            and len(session.in_flight) < c.RECEIVE_MAXIMUM
+            and len(session.in_flight) < constants.RECEIVE_MAXIMUM
         ):
             message = session.waiting.popleft()
             if self.world.now - message.sent_us > message.timeout_us + 1_000_000:
-                self.world.note("expired", "broker", client=session.gateway.name, corr=message.corr)
+                self.world.record("expired", "broker", client=session.gateway.name, corr=message.corr)
                 continue
             session.in_flight[message] = None
             self._deliver(session, message, False)
 
     def _deliver(self, session: _Session, message: Message, dup: bool) -> None:
         gateway = session.gateway
-        self.world.note(
+        self.world.record(
             "to", "broker", client=gateway.name, corr=message.corr, topic=message.topic(), dup=dup
         )
-        us = c.BROKER_DELAY_US + gateway.client_delay_us()
+        us = constants.BROKER_DELAY_US + gateway.client_delay_us()
         self.world.after(us, self._arrives, session, gateway.incarnation, message, dup)
 
     def _resume(self, session: _Session) -> None:
@@ -220,7 +220,7 @@
                 self._ack(session, origin)
 
         def replied(origin: Origin, answer: Answer) -> None:
-            us = gateway.client_delay_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US
+            us = gateway.client_delay_us() + constants.BROKER_DELAY_US + constants.CLIENT_DELAY_US
             kind, reason, message.retry_after_us = answer.kind.value, answer.reason, answer.wait_us
             self.world.after(us, self._answer, message, kind, reason)
             self._ack(session, origin)
@@ -252,6 +252,8 @@
 
 @dataclass(order=True, slots=True)
 class _Queued:
+    """A message in the queue, ordered by its position."""
+
     position: tuple[int, int]  # negative priority, order of arrival
     message: Message = field(compare=False)
     redelivered: bool = field(default=False, compare=False)
@@ -321,13 +323,13 @@
     def fault(self, name: str, for_s: float, keep: bool = True, lose_s: float = 0.0) -> None:
         """Injects "restart", "stall" or "cut"; faults of the protocol aren't modelled."""
         world = self.world
-        world.note("fault", "amqp", worker="broker", fault=name, for_s=for_s)
+        world.record("fault", "amqp", worker="broker", fault=name, for_s=for_s)
         if name not in ("restart", "stall", "cut"):
             return
         if name == "restart":
             self._unavailable_until = world.now + int(for_s * 1e6)
-            world.note("broker-down", "amqp", keep=keep)
-            world.at(self._unavailable_until, world.note, "broker-up", "amqp")
+            world.record("broker-down", "amqp", keep=keep)
+            world.at(self._unavailable_until, world.record, "broker-up", "amqp")
         elif name == "stall":
             self._unavailable_until = world.now + int(for_s * 1e6)
             world.at(self._unavailable_until, self.deliver_waiting)
@@ -343,8 +345,8 @@
         """Receives a publisher's message."""
         if self.is_unavailable():
             return
-        self.world.note("from", "amqp", client=message.client, corr=message.corr, topic=message.topic())
-        self.world.after(c.CLIENT_DELAY_US, message.on_ack, message)
+        self.world.record("from", "amqp", client=message.client, corr=message.corr, topic=message.topic())
+        self.world.after(constants.CLIENT_DELAY_US, message.on_ack, message)
         self._enqueued_count += 1
         heapq.heappush(self._queue, _Queued((-message.priority, self._enqueued_count), message))
         self.deliver_waiting()
@@ -371,15 +373,15 @@
             queued = heapq.heappop(self._queue)
             message = queued.message
             if self.world.now - message.sent_us > message.timeout_us:
-                self.world.note("expired", "amqp", corr=message.corr)
+                self.world.record("expired", "amqp", corr=message.corr)
                 continue
             self._tags += 1
             consumer.unacked[self._tags] = queued
-            self.world.note(
+            self.world.record(
                 "to", "amqp", client=consumer.gateway.name, corr=message.corr, topic=message.topic(),
                 dup=queued.redelivered,
             )  # fmt: skip
-            us = c.BROKER_DELAY_US + consumer.gateway.client_delay_us()
+            us = constants.BROKER_DELAY_US + consumer.gateway.client_delay_us()
             redelivered = queued.redelivered
             self.world.after(
                 us, self._arrives, consumer, consumer.gateway.incarnation, self._tags, message, redelivered
@@ -406,12 +408,13 @@
             consumer.acked_before_run -= not safe
             consumer.ended_calls += 1
             us, message.retry_after_us = (
-                gateway.client_delay_us() + c.BROKER_DELAY_US + c.CLIENT_DELAY_US, answer.wait_us,
+                gateway.client_delay_us() + constants.BROKER_DELAY_US + constants.CLIENT_DELAY_US,
+                answer.wait_us,
             )  # fmt: skip
             self.world.after(us, self._answer, message, answer.kind.value, answer.reason)
             if safe:
                 self.world.after(
-                    2 * gateway.client_delay_us(), self._confirmed, consumer, incarnation, tag, origin
+                    2 * gateway.client_delay_us(), self._on_confirmed, consumer, incarnation, tag, origin
                 )
 
         origin = Origin(message, gateway, incarnation, lambda origin: None, replied)
@@ -428,7 +431,7 @@
             gateway.submit(trigger)
             return
         origin.acked = True
-        round_trip_us = 2 * gateway.client_delay_us() + c.BROKER_DELAY_US
+        round_trip_us = 2 * gateway.client_delay_us() + constants.BROKER_DELAY_US
         self.world.after(round_trip_us / 2, self._ack_if_current, consumer, incarnation, tag)
         self.world.after(round_trip_us, self._submit_unsafe, consumer, incarnation, origin, trigger)
 
@@ -446,10 +449,10 @@
         if not consumer.up:
             origin.replied(trigger, Answer(Kind.FAILED, tr.MAY_HAVE_RUN))
             return
-        left = trigger.left_us - int(2 * c.CLIENT_DELAY_US)
+        left = trigger.left_us - int(2 * constants.CLIENT_DELAY_US)
         consumer.gateway.submit(replace(trigger, left_us=max(0, left)))
 
-    def _confirmed(self, consumer: _Consumer, incarnation: int, tag: int, origin: Origin) -> None:
+    def _on_confirmed(self, consumer: _Consumer, incarnation: int, tag: int, origin: Origin) -> None:
         origin.acked = True
         if consumer.gateway.incarnation == incarnation:
             for delivery_tag in (tag, *origin.redelivered_tags):
--- a/swiftwell/lab/gateway.py
+++ b/swiftwell/lab/gateway.py
@@ -18,7 +18,7 @@
 from swiftwell.gateway.engine import Engine
 from swiftwell.handover import crash, snapshot
 from swiftwell.interface import Effect, Status
-from swiftwell.lab import constants as c
+from swiftwell.lab import constants
 from swiftwell.lab.servers import Answer, Server
 from swiftwell.lab.world import World
 from swiftwell.standins.model import Work
@@ -88,7 +88,7 @@
             if router_state := crash.believe(saved, world.now - saved_at, True):
                 self.engine.start_at(world.now, world.wall())
                 self.engine.restore_router_state(router_state)
-        world.note("ready", "runner", gw=self.name, port=self.port)
+        world.record("ready", "runner", gw=self.name, port=self.port)
         self.enqueue(ports.Listed(io.Members(io.ListKind.DELTA, ())))
         self.request_list(self)
         if self.plan.save_snapshots:
@@ -101,14 +101,14 @@
         """A port number that identifies the gateway; nothing listens on it."""
         return 10_000 + int(self.name.rpartition("-")[2])
 
-    def kill(self, away_s: float) -> None:
-        """Kills the process; it is started again `away_s` later."""
-        self.world.note("killed", "runner", gw=self.name)
+    def kill(self, downtime_s: float) -> None:
+        """Kills the process; it is started again `downtime_s` later."""
+        self.world.record("killed", "runner", gw=self.name)
         self.up = False
         self.incarnation += 1
         for listener in self.lifecycle_listeners:
             listener(False)
-        self.world.after((away_s + c.GATEWAY_START_S) * 1e6, self.start)
+        self.world.after((downtime_s + constants.GATEWAY_START_S) * 1e6, self.start)
 
     def _save_snapshot(self, incarnation: int) -> None:
         if incarnation == self.incarnation and self.up:
@@ -130,10 +130,10 @@
         self._stepping = False
         inputs, self._inputs = self._inputs, []
         world = self.world
-        self._free_at = world.now + int(c.INPUT_COST_US * (len(inputs) or 1))
+        self._free_at = world.now + int(constants.INPUT_COST_US * (len(inputs) or 1))
         for output in self.engine.step(world.now, world.wall(), inputs):
             self._execute(output)
-        self._flush()
+        self._start_commit()
         self._arm()
 
     def _arm(self) -> None:
@@ -175,25 +175,25 @@
 
     # The ledger's disk.
 
-    def _flush(self) -> None:
+    def _start_commit(self) -> None:
         if self._committing or not self._unwritten:
             return
         batch, self._unwritten, self._committing = self._unwritten, [], True
-        us = self._disk_random.lognormal(c.COMMIT_US, c.COMMIT_SIGMA)
-        self.world.after(us, self._durable, self.incarnation, batch)
+        us = self._disk_random.lognormal(constants.COMMIT_US, constants.COMMIT_SIGMA)
+        self.world.after(us, self._on_commit, self.incarnation, batch)
 
-    def _durable(self, incarnation: int, batch: list[Record]) -> None:
+    def _on_commit(self, incarnation: int, batch: list[Record]) -> None:
         if incarnation != self.incarnation:
             return
         self.disk += batch
         self._committing = False
         self.enqueue(ports.Durable(self.engine._last_write - len(self._unwritten)))
-        self._flush()
+        self._start_commit()
 
     # The link to workers.
 
     def _worker_delay_us(self) -> float:
-        return self._network_random.lognormal(c.WORKER_DELAY_US, c.WORKER_DELAY_SIGMA)
+        return self._network_random.lognormal(constants.WORKER_DELAY_US, constants.WORKER_DELAY_SIGMA)
 
     def _start(self, start: ports.Start) -> None:
         key, started_at = (start.id, start.number), self.world.now
@@ -204,7 +204,9 @@
             or server.refuses()
             or self._connections.get(start.worker, 0) >= self.plan.connections
         ):
-            self.world.after(c.CONNECT_REFUSED_US, self._no_connection, self.incarnation, key, started_at)
+            self.world.after(
+                constants.CONNECT_REFUSED_US, self._no_connection, self.incarnation, key, started_at
+            )
             return
         self._connections[start.worker] = self._connections.get(start.worker, 0) + 1
         self._in_flight[key] = start.worker
@@ -286,7 +288,7 @@
             )  # fmt: skip
 
         if server is None or server.refuses():
-            self.world.after(c.CONNECT_REFUSED_US, end, Status.CONNECT_FAILED, None)
+            self.world.after(constants.CONNECT_REFUSED_US, end, Status.CONNECT_FAILED, None)
             return
 
         def on_answer(answer: Answer) -> None:
@@ -319,7 +321,7 @@
             )
 
         if server is None or server.refuses():
-            self.world.after(c.CONNECT_REFUSED_US, end, None)
+            self.world.after(constants.CONNECT_REFUSED_US, end, None)
             return
 
         def on_answer(answer: Answer) -> None:
@@ -340,4 +342,4 @@
 
     def client_delay_us(self) -> float:
         """Draws the one-way delay of a message between this gateway and a client or broker."""
-        return self._network_random.lognormal(c.CLIENT_DELAY_US, c.CLIENT_DELAY_SIGMA)
+        return self._network_random.lognormal(constants.CLIENT_DELAY_US, constants.CLIENT_DELAY_SIGMA)
--- a/swiftwell/lab/report.py
+++ b/swiftwell/lab/report.py
@@ -109,7 +109,7 @@
             f"{p99_ms[conditions, design].mean:.0f}", f"{loads[conditions, design].mean:.0f}",
         ]  # fmt: skip
         css_class = (
-            "invalid"
+            "wrong"
             if rules_broken[conditions, design].mean
             else ("tells" if difference and difference.excludes_zero else "")
         )
--- a/swiftwell/lab/servers.py
+++ b/swiftwell/lab/servers.py
@@ -33,14 +33,14 @@
         self._overloaded_since = 0
         self.slowdown = 1.0
 
-    def fault(self, name: str, for_s: float, times: float = 5.0) -> None:
+    def fault(self, name: str, for_s: float, slowdown_factor: float = 5.0) -> None:
         """Injects a fault, "stop" or "slow"."""
-        self._world.note("fault", "store", worker="store", fault=name, for_s=for_s)
+        self._world.record("fault", "store", worker="store", fault=name, for_s=for_s)
         self._advance()
         if name == "stop":
             self._stopped_until = self._world.now + int(for_s * 1e6)
         else:
-            self.slowdown = times
+            self.slowdown = slowdown_factor
             self._world.after(for_s * 1e6, self._end_slowdown)
         self._arm()
 
@@ -53,10 +53,10 @@
         """Fetches a model; `on_result` receives whether that succeeded."""
         self._advance()
         if len(self._fetches) >= self._max_fetches:
-            self._world.note("store-refused", "store")
+            self._world.record("store-refused", "store")
             self._world.after(0, on_result, False)
             return
-        self._world.note("fetch", "store", function=function)
+        self._world.record("fetch", "store", function=function)
         self._fetches.append([self._fetch_us, on_result])
         self._arm()
 
@@ -73,7 +73,7 @@
         if len(self._fetches) > 3 * self._capacity:
             self._overloaded_since = self._overloaded_since or world.now
             if world.now - self._overloaded_since > OVERLOAD_LIMIT_US:
-                world.note("store-stopped", "store")
+                world.record("store-stopped", "store")
                 self._stopped_until, self._overloaded_since = world.now + STOPPED_US, 0
         else:
             self._overloaded_since = 0
@@ -101,7 +101,7 @@
     """A server's answer to a call, load order or query; `lost`: the connection ends without an answer."""
 
     verdict: str = ""  # "", "full", "draining", "miss", "error"
-    copy_state: str = ""
+    copy_state: str = ""  # "warm", "loaded" or "waited" after a call that ran
     worker_calls_held: int = 0
     function_calls_waiting: int = 0
     copies: int = 0
@@ -133,34 +133,34 @@
         self.down = self.draining = False
         self._incarnation = 0
         self._timer_version = 0
-        self._waiting: dict[Work, AnswerCallback] = {}
-        self._orders: dict[str, list[AnswerCallback]] = {}
-        self._full_until: dict[str, int] = {}
+        self._calls: dict[Work, AnswerCallback] = {}  # calls that await their answer
+        self._orders: dict[str, list[AnswerCallback]] = {}  # pending load orders by function
+        self._full_until: dict[str, int] = {}  # by request class, "" for all
         self._fault_ends: dict[str, int] = {}
+        # Requests received during the fault "pause".
         self._paused_requests: list[tuple[Callable[..., None], tuple]] = []
 
     # Process state and faults.
 
-    def die(self, back_s: float = FOREVER_S) -> None:
-        """Ends the process; after `back_s` a new one starts at its address, cold and without copies."""
+    def die(self, restart_after_s: float = FOREVER_S) -> None:
+        """Ends the process; after `restart_after_s` a new one starts there, cold and without copies."""
         if self.down:
             return
         self.down = True
         self._incarnation += 1
-        self._note("died")
-        waiting, orders = (
-            list(self._waiting.values()),
-            [entry for entries in self._orders.values() for entry in entries],
-        )
-        self._waiting, self._orders = {}, {}
+        self._record("died")
+        calls, orders = (
+            list(self._calls.values()), [entry for entries in self._orders.values() for entry in entries],
+        )  # fmt: skip
+        self._calls, self._orders = {}, {}
         self._fault_ends.clear()
         self._full_until.clear()
         self._paused_requests.clear()
-        for on_answer in (*waiting, *orders):
+        for on_answer in (*calls, *orders):
             on_answer(Answer(lost=True))
         self._on_state_change(self, "gone")
-        if back_s < FOREVER_S:
-            self.world.after(back_s * 1e6, self._restart, self._incarnation)
+        if restart_after_s < FOREVER_S:
+            self.world.after(restart_after_s * 1e6, self._restart, self._incarnation)
 
     def _restart(self, incarnation: int) -> None:
         if incarnation != self._incarnation:
@@ -168,38 +168,38 @@
         self.model = CalcServer(self.machine, self.world.now, cold=True, keys=self._keys)
         self.started_us = self.world.now
         self.draining = self.down = False
-        self._note("started")
+        self._record("started")
         self._on_state_change(self, "running")
 
-    def drain(self, back_s: float = FOREVER_S, end_s: float = 3.0) -> None:
-        """Stops accepting work, ends the process after `end_s` and restarts it after `back_s`."""
+    def drain(self, restart_after_s: float = FOREVER_S, stop_after_s: float = 3.0) -> None:
+        """Rejects new work, ends the process after `stop_after_s`, restarts it after `restart_after_s`."""
         if self.down or self.draining:
             return
         self.draining = True
-        self._note("draining")
+        self._record("draining")
         self._on_state_change(self, "draining")
-        self.world.after(end_s * 1e6, self._drained, self._incarnation, back_s)
+        self.world.after(stop_after_s * 1e6, self._end_drain, self._incarnation, restart_after_s)
 
-    def _drained(self, incarnation: int, back_s: float) -> None:
+    def _end_drain(self, incarnation: int, restart_after_s: float) -> None:
         if incarnation == self._incarnation:
-            self.die(back_s)
+            self.die(restart_after_s)
 
-    def fault(self, name: str, for_s: float, times: float = 5.0, request_class: str = "") -> None:
+    def fault(self, name: str, for_s: float, slowdown_factor: float = 5.0, request_class: str = "") -> None:
         """Injects a fault of the stand-in."""
-        self.world.note("fault", "fleet", worker=self.name, fault=name, for_s=for_s)
-        fault_ends = self.world.now + int(for_s * 1e6)
+        self.world.record("fault", "fleet", worker=self.name, fault=name, for_s=for_s)
+        fault_ends_at = self.world.now + int(for_s * 1e6)
         if name == "full":
-            self._full_until[request_class] = fault_ends
+            self._full_until[request_class] = fault_ends_at
             return
-        self._fault_ends[name] = fault_ends
+        self._fault_ends[name] = fault_ends_at
         if name in ("hang", "pause"):
             self._apply_effects(self.model.advance(self.world.now))
             self.model.frozen = True
-            self.world.at(fault_ends, self._resume, self._incarnation)
+            self.world.at(fault_ends_at, self._resume, self._incarnation)
         elif name == "slow":
             self._apply_effects(self.model.advance(self.world.now))
-            self.model.slow = times
-            self.world.at(fault_ends, self._end_slowdown, self._incarnation)
+            self.model.slow = slowdown_factor
+            self.world.at(fault_ends_at, self._end_slowdown, self._incarnation)
 
     def _resume(self, incarnation: int) -> None:
         if incarnation == self._incarnation:
@@ -216,49 +216,49 @@
             self.model.slow = 1.0
             self._arm()
 
-    def _has(self, fault: str) -> bool:
+    def _has_fault(self, fault: str) -> bool:
         return self.world.now < self._fault_ends.get(fault, 0)
 
     def refuses(self) -> bool:
         """Whether connections are refused now."""
-        return self.down or self._has("refuse")
+        return self.down or self._has_fault("refuse")
 
-    def _note(self, ev: str, **fields: object) -> None:
-        self.world.note(ev, "fleet", worker=self.name, **fields)
+    def _record(self, ev: str, **fields: object) -> None:
+        self.world.record(ev, "fleet", worker=self.name, **fields)
 
     # Serving.
 
     def run(self, gw: str, call: str, work: Work, on_answer: AnswerCallback) -> None:
         """Receives a call; `on_answer` is called at most once."""
-        if self._has("pause"):
+        if self._has_fault("pause"):
             self._paused_requests.append((self.run, (gw, call, work, on_answer)))
             return
         if self.refuses():
             on_answer(Answer(lost=True))
             return
-        self._note("recv", gw=gw, call=call, key=work.key, band=work.request_class, function=work.function)
+        self._record("recv", gw=gw, call=call, key=work.key, band=work.request_class, function=work.function)
         mean = self._work_us.get(work.request_class, self._work_us.get("", 100_000.0))
         work.work_us = self._work_random.uniform(0.5, 1.5) * mean
         verdict = self._refusal(work.request_class)
         if not verdict:
-            self._waiting[work] = on_answer
+            self._calls[work] = on_answer
             model_verdict, effects = self.model.arrive(self.world.now, work)
             verdict = "" if model_verdict == "taken" else model_verdict
             if verdict:
-                self._waiting.pop(work, None)
+                self._calls.pop(work, None)
             if self._apply_effects(effects):
                 if verdict:
                     on_answer(Answer(lost=True))  # this call crashed the server
                 return
         if verdict:
-            self._note("turned", gw=gw, call=call, verdict=verdict)
+            self._record("turned", gw=gw, call=call, verdict=verdict)
             on_answer(self._answer(verdict, work))
 
     def _refusal(self, request_class: str) -> str:
         if self.draining:
             return "draining"
-        fault_ends = max(self._full_until.get(request_class, 0), self._full_until.get("", 0))
-        return "full" if self.world.now < fault_ends else ""
+        fault_ends_at = max(self._full_until.get(request_class, 0), self._full_until.get("", 0))
+        return "full" if self.world.now < fault_ends_at else ""
 
     def _answer(self, verdict: str, work: Work | None = None) -> Answer:
         function_calls_waiting = work.crowd if work else 0
@@ -271,23 +271,23 @@
         self, gw: str, function: str, copies: int, memory: float, lanes: int, on_answer: AnswerCallback
     ) -> None:
         """Receives a load order, or with 0 copies a query."""
-        if self._has("pause"):
+        if self._has_fault("pause"):
             self._paused_requests.append((self.order, (gw, function, copies, memory, lanes, on_answer)))
             return
         if self.refuses():
             on_answer(Answer(lost=True))
             return
         if not copies:
-            self._note("asked", gw=gw)
+            self._record("asked", gw=gw)
             answer = self._answer("")
             answer.copies, answer.draining = self.model.copies(function), self.draining
             if self.draining:
-                self._note("turned", gw=gw, call="ask", verdict="draining")
+                self._record("turned", gw=gw, call="ask", verdict="draining")
             on_answer(answer)
             return
-        self._note("order", gw=gw, function=function)
+        self._record("order", gw=gw, function=function)
         if self.draining:
-            self._note("turned", gw=gw, call="order", verdict="draining")
+            self._record("turned", gw=gw, call="order", verdict="draining")
             on_answer(self._answer("draining"))
             return
         state, effects = self.model.hold(self.world.now, function, copies, memory, lanes)
@@ -319,7 +319,7 @@
                 case Done():
                     self._done(effect.work)
                 case Failed():
-                    if on_answer := self._waiting.pop(effect.work, None):
+                    if on_answer := self._calls.pop(effect.work, None):
                         on_answer(self._answer("error", effect.work))
                 case Stand():
                     for on_answer in self._orders.pop(effect.function, ()):
@@ -328,7 +328,7 @@
                         else:
                             on_answer(self._answer("error"))
                 case Fell():
-                    self._note("fell")
+                    self._record("fell")
                     self.die()
                     return True
         self._arm()
@@ -340,9 +340,9 @@
 
     def _done(self, work: Work) -> None:
         if not work.repeated:
-            self._note("ran", call=work.id, key=work.key, band=work.request_class, found=work.found)
-        on_answer = self._waiting.pop(work, None)
-        if self._has("die_after"):  # after the effect, before the answer
+            self._record("ran", call=work.id, key=work.key, band=work.request_class, found=work.found)
+        on_answer = self._calls.pop(work, None)
+        if self._has_fault("die_after"):  # after the effect, before the answer
             del self._fault_ends["die_after"]
             if on_answer:
                 on_answer(Answer(lost=True))
@@ -350,13 +350,13 @@
             return
         if on_answer is None:
             return
-        if self._has("mute"):
-            self._note("muted", call=work.id)  # no answer is sent; the connection stays open
+        if self._has_fault("mute"):
+            self._record("muted", call=work.id)  # no answer is sent; the connection stays open
             return
         answer = self._answer("", work)
         answer.copy_state, answer.body = work.found, f"{work.function} {work.id}".encode()
-        answer.lost, answer.answered_twice = self._has("reset"), self._has("twice")
-        if self._has("large"):
+        answer.lost, answer.answered_twice = self._has_fault("reset"), self._has_fault("twice")
+        if self._has_fault("large"):
             answer.body = bytes(4_000_000)
         on_answer(answer)
 
--- a/swiftwell/lab/world.py
+++ b/swiftwell/lab/world.py
@@ -89,7 +89,7 @@
         """Schedules a callback after a delay in microseconds."""
         self.at(self.now + us, callback, *args)
 
-    def note(self, ev: str, who: str, **fields: Any) -> None:
+    def record(self, ev: str, who: str, **fields: Any) -> None:
         """Records an event in the format of the stand-ins."""
         self.events.append({"t": self.now, "who": who, "ev": ev, **fields})
 
--- a/swiftwell/lab/zone.py
+++ b/swiftwell/lab/zone.py
@@ -11,7 +11,7 @@
 from swiftwell.starting.list_reader import QueryMode
 from swiftwell.starting.zone import ZoneList
 
-SECOND = 1_000_000  # us
+SECOND_US = 1_000_000
 
 
 class Zone(SimulatedFleet):
@@ -85,4 +85,4 @@
     def max_queries_per_second(self) -> int:
         """Returns the maximum number of queries in any second, without those of isolated nodes."""
         times = [at for at, _, mode in self.queries if mode is not QueryMode.ISOLATED]
-        return max((sum(0 <= b - a < SECOND for b in times) for a in times), default=0)
+        return max((sum(0 <= b - a < SECOND_US for b in times) for a in times), default=0)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -244,7 +244,7 @@
         assert not answers, fault
         world.run(started_at + 3_000_000)
         assert answers and answers[0].verdict == "", fault
-    server.fault("slow", 5.0, times=10.0)
+    server.fault("slow", 5.0, slowdown_factor=10.0)
     answers, started_at = send_call(world, server), world.now
     world.run(started_at + 240_000)
     assert not answers
@@ -256,7 +256,7 @@
     assert answers[0].lost and server.down and world.events[-1]["ev"] == "died"
     world.run(world.now + 2_500_000)
     assert not server.down and server.states == ["gone", "running"]
-    server.drain(0.5, end_s=1.0)
+    server.drain(0.5, stop_after_s=1.0)
     assert send_call(world, server)[0].verdict == "draining"
     world.run(world.now + 2_000_000)
     assert server.states[2:] == ["draining", "gone", "running"]
