--- a/swiftwell/lab/fronts.py
+++ b/swiftwell/lab/fronts.py
@@ -48,6 +48,7 @@
     retry_after_us: int = 0  # wait that its refusal requests
 
     def topic(self) -> str:
+        """Returns the topic that it is published to."""
         return f"calls/{self.tenant}/{self.request_class}/{self.function}"
 
 
@@ -64,9 +65,11 @@
     redelivered_tags: list[Any] = field(default_factory=list)  # AMQP tags to acknowledge with it
 
     def accepted(self, trigger: Trigger) -> None:
+        """Handles the engine's acceptance of the trigger."""
         self.on_accepted(self)
 
     def replied(self, trigger: Trigger, answer: Answer) -> None:
+        """Handles the engine's answer to the trigger."""
         self.on_replied(self, answer)
 
 
@@ -283,11 +286,13 @@
             self.broker.lost(self)
 
     def connect(self, incarnation: int) -> None:
+        """Connects to the broker if it is available."""
         if incarnation == self.gateway.incarnation and not self.broker.is_unavailable():
             self.up, self.connected_at = True, self.broker.world.now
             self.broker.deliver_waiting()
 
     def update_prefetch(self, incarnation: int) -> None:
+        """Updates the prefetch limit, every TICK_US; open calls acknowledged before they run are deducted."""
         if incarnation != self.gateway.incarnation:
             return
         running, waiting = self.gateway.engine.load()
--- a/swiftwell/lab/servers.py
+++ b/swiftwell/lab/servers.py
@@ -12,14 +12,14 @@
 
 FOREVER_S = 3_600.0
 WARM_UPTIME_US = 172_800_000_000  # uptime of a server that is warm from the start
-OVERLOAD_LIMIT_US, STOPPED_US = 2_000_000, 5_000_000  # as in standins/store.py
+OVERLOAD_LIMIT_US, STOPPED_US = 2_000_000, 5_000_000  # compare standins/store.py
 
 
 class Store:
     """The model store.
 
     Up to `capacity` fetches run at full speed; more of them share its rate.  Past `max_fetches` they are
-    refused, and when overload lasts for OVERLOAD_LIMIT_US the store stops for STOPPED_US.
+    refused.  After more than OVERLOAD_LIMIT_US above 3 * `capacity` fetches the store stops for STOPPED_US.
     """
 
     def __init__(self, world: World, fetch_us: float, capacity: int, max_fetches: int) -> None:
