--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,7 +37,7 @@
 from swiftwell.fleet.members import Status
 from swiftwell.fleet.node import FleetSettings
 from swiftwell.fleet.shares import RESERVED_PPM, TOTAL_PPM
-from swiftwell.lab.town import Town
+from swiftwell.lab.simulated_fleet import SimulatedFleet
 from swiftwell.lab.zone import Zone
 from swiftwell.proof import days
 from swiftwell.proof.gateway_fleet import free_ports
@@ -422,7 +422,10 @@
     rows = []
     for size in args.sizes:
         for loss in (0.0, 0.1, 0.3):
-            started_at, town = time.monotonic(), Town(size, 1, term_us=5_000_000, period_us=1_000_000)
+            started_at, town = (
+                time.monotonic(),
+                SimulatedFleet(size, 1, term_us=5_000_000, period_us=1_000_000),
+            )
             town.loss = loss
             town.run(12 + size / 20)
             false = sum(node.members.counts["died"] for node in town.nodes)
@@ -463,12 +466,12 @@
             zone.loss, start, every = loss, zone.now, None
             there = [me for me in zone.group if me not in zone.down]
             while every is None and zone.now - start < 60_000_000:
-                zone.go(0.1)
-                every = (zone.now - start) / 1e6 if all(map(zone.has, there)) else None
-            zone.go(4)
+                zone.advance(0.1)
+                every = (zone.now - start) / 1e6 if all(map(zone.is_current, there)) else None
+            zone.advance(4)
             row = {
                 "trial": "start, virtual", "gateways": size, "loss": loss, "present": present,
-                "asked": len(zone.asked), "most_in_a_second": zone.worst_second(),
+                "asked": len(zone.queries), "most_in_a_second": zone.max_queries_per_second(),
                 "all_have_it_s": round(every, 1) if every else None, "readers": len(zone.readers()),
                 "datagrams_a_s": round(zone.sent / len(there) / ((zone.now - start) / 1e6), 1),
                 "took_s": round(time.monotonic() - started_at, 1),
