--- a/swiftwell/standins/model.py
+++ b/swiftwell/standins/model.py
@@ -1,9 +1,8 @@
-"""A calc server as a state machine: cores shared by running calls, copies with lanes, loads, memory,
-warm-up.  No I/O.
+"""A calc server as a state machine: cores shared by running calls, copies with lanes, loads, memory, warm-up.
 
-Its shell (worker.py) brings calls, orders and fetched bytes, carries out `Fetch` and hears of ends.  Times
-are monotonic
-microseconds; work is microseconds on a core of speed 1.
+It does no I/O.  Its shell (worker.py) passes in calls, load orders and fetched models, and executes the
+effects that the methods return.  Times are monotonic, in microseconds.  Work is in microseconds on a core of
+speed 1.
 """
 
 from __future__ import annotations
@@ -15,13 +14,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """What a calc server is made of.
-
-    `cold_share`, `cold_us`: part of its work that it can do just started, and how long until it is warm.
-    `fall_multiple`, `fall_us`: sent more than so many times what it can do, over so long while cold, it
-    falls over.
-    `fetch_us`, `start_us`: a copy's start after its bytes came; `remembers_us`: how long keys are dropped,
-    0 never.
+    """The configuration of a calc server.
+
+    `queue`: calls that it accepts at a time, queued and running.  `loads`: concurrent loads.  `idle_us`: time
+    after which an idle copy is dropped.  `start_us`: time from the arrival of a model's bytes until the copy
+    can run calls.  `cold_share`, `cold_us`: fraction of its capacity that a server has right after its start,
+    and the time until it has all of it.  `fall_multiple`, `fall_us`: a cold server crashes if the work sent
+    to it over the last `fall_us` exceeds that multiple of its capacity.  `misses`: rejects calls for
+    functions that have no copy, instead of loading one.  `remembers_us`: how long a call with a key seen
+    before counts as repeated; 0 turns this off.
     """
 
     cores: float = 4
@@ -41,7 +42,11 @@
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """One call at a calc server."""
+    """One call at a calc server.
+
+    `found`: the state of the function's copies on arrival ("warm", "waited", "loaded").  `crowd`: calls of
+    the same function that were here on arrival.  `left`: work that is still to do, in microseconds.
+    """
 
     id: str
     function: str
@@ -53,7 +58,7 @@
     found: str = "warm"
     crowd: int = 0
     left: float = 0.0
-    repeated: bool = False  # its key was known: the effect is not done again
+    repeated: bool = False  # its key was seen before: the effect is not performed again
 
 
 @dataclass(slots=True, eq=False)
@@ -70,8 +75,8 @@
     lanes: int
     copies: list[_Copy] = field(default_factory=list)
     queue: deque[Work] = field(default_factory=deque)
-    wanted: int = 0  # copies that orders wait for
-    held: int = 0  # calls here, queued and running
+    wanted: int = 0  # number of standing copies that load orders wait for
+    held: int = 0  # calls queued and running
 
     def standing(self) -> list[_Copy]:
         return [copy for copy in self.copies if copy.standing]
@@ -82,28 +87,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Fetch a function's bytes; `CalcServer.fetched` is told."""
+    """Fetch the model of a function, then call `CalcServer.fetched`."""
 
     function: str
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """A call has run: its effect is done now."""
+    """A call has run; its effect takes place now."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """A call can't run: the load it waited for failed."""
+    """A call can't run because the load that it waited for failed."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class Stand:
-    """Orders for a function are over: so many copies stand; `ok` where that is enough."""
+    """The load orders for a function have ended; `ok` if as many copies stand as they asked for."""
 
     function: str
     copies: int
@@ -112,14 +117,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fell:
-    """Pushed over: it does nothing any more."""
+    """The server has crashed under its load and does nothing any more."""
 
 
 Effect = Fetch | Done | Failed | Stand | Fell
 
 
 class CalcServer:
-    """One calc server's life, from start to end."""
+    """One process of a calc server, from its start to its end."""
 
     def __init__(
         self, machine: Machine, now: int, cold: bool = True, keys: OrderedDict[str, int] | None = None
@@ -127,176 +132,185 @@
         self.machine = machine
         self.started = now if cold else now - machine.cold_us
         self.fallen = False
-        self.slow = 1.0  # times slower, by a fault
+        self.slow = 1.0  # factor by which a fault slows calls down
         self.frozen = False
         self._functions: dict[str, _Function] = {}
         self._running: dict[Work, _Copy] = {}
         self._at = now
-        self._starts: list[tuple[int, str, _Copy]] = []
-        self._offered: deque[tuple[int, float]] = deque()
-        # Keys seen by the group of servers that drop repeats together.
+        self._starting_copies: list[tuple[int, str, _Copy]] = []
+        self._recent_arrivals: deque[tuple[int, float]] = deque()
+        # When each key was first seen by the group of servers that drop repeated calls together.
         self._keys: OrderedDict[str, int] = OrderedDict() if keys is None else keys
         self.fetching = 0
 
-    # What is known of it.
+    # State.
 
     @property
     def held(self) -> int:
-        """Calls here, queued and running."""
-        return sum(f.held for f in self._functions.values())
+        """Calls queued and running."""
+        return sum(function.held for function in self._functions.values())
 
     def memory_used(self) -> float:
-        """MB of all copies."""
-        return sum(f.memory_mb * len(f.copies) for f in self._functions.values())
+        """Memory of all copies, in MB."""
+        return sum(function.memory_mb * len(function.copies) for function in self._functions.values())
 
     def copies(self, function: str) -> int:
-        """Copies of a function that stand."""
-        known = self._functions.get(function)
-        return len(known.standing()) if known else 0
+        """Number of standing copies of a function."""
+        function_state = self._functions.get(function)
+        return len(function_state.standing()) if function_state else 0
 
     def share(self, now: int) -> float:
-        """The part of its work that it can do now."""
-        m = self.machine
-        if now >= self.started + m.cold_us or not m.cold_us:
+        """The fraction of its full capacity that it has now."""
+        machine = self.machine
+        if now >= self.started + machine.cold_us or not machine.cold_us:
             return 1.0
-        return m.cold_share + (1 - m.cold_share) * (now - self.started) / m.cold_us
+        return machine.cold_share + (1 - machine.cold_share) * (now - self.started) / machine.cold_us
 
-    # What happens to it.
+    # Events.
 
     def arrive(self, now: int, work: Work) -> tuple[str, list[Effect]]:
-        """A call comes: "taken", "full" or "miss", and what follows."""
-        out = self.advance(now)
+        """Handles an arriving call; returns "taken", "full" or "miss", and the effects."""
+        effects = self.advance(now)
         if self.fallen:
-            return "full", out
-        if self._push(now, work.work_us):
-            return "full", [*out, *self._fall()]
+            return "full", effects
+        if self._exceeds_crash_load(now, work.work_us):
+            return "full", [*effects, *self._crash()]
         function = self._functions.get(work.function)
         if self.machine.misses and (function is None or not function.copies):
-            return "miss", out
+            return "miss", effects
         if self.held >= self.machine.queue:
-            return "full", out
+            return "full", effects
         if function is None:
             function = self._functions[work.function] = _Function(work.function, work.memory_mb, work.lanes)
         work.crowd = function.held
-        if not function.copies and not self._begin_load(now, function, out):
-            return "full", out
+        if not function.copies and not self._begin_load(now, function, effects):
+            return "full", effects
         function.held += 1
-        stands = bool(function.standing())
-        work.found = "warm" if stands else "waited" if work.crowd or function.wanted else "loaded"
+        has_copy = bool(function.standing())
+        work.found = "warm" if has_copy else "waited" if work.crowd or function.wanted else "loaded"
         work.left = work.work_us
         function.queue.append(work)
-        self._fill(now, function)
-        if function.queue and stands and not function.loading():
-            self._begin_load(now, function, out)  # all lanes taken: another copy, if there is room
-        return "taken", out
+        self._start_queued(now, function)
+        if function.queue and has_copy and not function.loading():
+            self._begin_load(now, function, effects)  # all lanes are busy: load another copy if there is room
+        return "taken", effects
 
     def hold(
         self, now: int, function: str, copies: int, memory_mb: float, lanes: int
     ) -> tuple[str, list[Effect]]:
-        """An order: "stands", "coming" (a `Stand` follows) or "full"."""
-        out = self.advance(now)
+        """Handles a load order; returns "stands", "coming" (a `Stand` follows) or "full", and the effects."""
+        effects = self.advance(now)
         if self.fallen:
-            return "full", out
-        known = self._functions.setdefault(function, _Function(function, memory_mb, lanes))
-        for copy in known.standing():
+            return "full", effects
+        function_state = self._functions.setdefault(function, _Function(function, memory_mb, lanes))
+        for copy in function_state.standing():
             copy.idle_since = now
-        if len(known.standing()) >= copies:
-            return "stands", out
-        while len(known.copies) < copies:
-            if not self._begin_load(now, known, out):
-                self._tidy(known)
-                return "full", out
-        known.wanted = max(known.wanted, copies)
-        return "coming", out
+        if len(function_state.standing()) >= copies:
+            return "stands", effects
+        while len(function_state.copies) < copies:
+            if not self._begin_load(now, function_state, effects):
+                self._remove_if_unused(function_state)
+                return "full", effects
+        function_state.wanted = max(function_state.wanted, copies)
+        return "coming", effects
 
     def unload(self, now: int, function: str) -> list[Effect]:
-        """Drop the idle copies of a function."""
-        out = self.advance(now)
-        known = self._functions.get(function)
-        if known:
-            known.copies = [copy for copy in known.copies if copy.busy or not copy.standing]
-            self._tidy(known)
-        return out
+        """Drops the idle copies of a function."""
+        effects = self.advance(now)
+        function_state = self._functions.get(function)
+        if function_state:
+            function_state.copies = [copy for copy in function_state.copies if copy.busy or not copy.standing]
+            self._remove_if_unused(function_state)
+        return effects
 
     def fetched(self, now: int, function: str, ok: bool) -> list[Effect]:
-        """The bytes of a load came, or will not."""
-        out = self.advance(now)
+        """Handles the end of a `Fetch`, successful or not."""
+        effects = self.advance(now)
         self.fetching -= 1
-        known = self._functions.get(function)
-        waiting = [c for c in known.copies if not c.standing and c.idle_since == 0] if known else []
-        if not known or not waiting:
-            return out
+        function_state = self._functions.get(function)
+        unfetched = (
+            [copy for copy in function_state.copies if not copy.standing and copy.idle_since == 0]
+            if function_state
+            else []
+        )
+        if not function_state or not unfetched:
+            return effects
         if ok:
-            waiting[0].idle_since = 1  # its bytes are here; it starts
-            self._starts.append((now + self.machine.start_us, function, waiting[0]))
-            return out
-        known.copies.remove(waiting[0])
-        if not known.copies:
-            out += [Failed(work) for work in known.queue]
-            known.held -= len(known.queue)
-            known.queue.clear()
-        if known.wanted:
-            known.wanted = 0
-            out.append(Stand(function, len(known.standing()), False))
-        self._tidy(known)
-        return out
+            unfetched[0].idle_since = 1  # marks that the model has been fetched and the copy is starting
+            self._starting_copies.append((now + self.machine.start_us, function, unfetched[0]))
+            return effects
+        function_state.copies.remove(unfetched[0])
+        if not function_state.copies:
+            effects += [Failed(work) for work in function_state.queue]
+            function_state.held -= len(function_state.queue)
+            function_state.queue.clear()
+        if function_state.wanted:
+            function_state.wanted = 0
+            effects.append(Stand(function, len(function_state.standing()), False))
+        self._remove_if_unused(function_state)
+        return effects
 
     def drop(self, now: int, work: Work) -> list[Effect]:
-        """A waiting call's client has gone; running work goes on."""
-        out = self.advance(now)
-        known = self._functions.get(work.function)
-        if known and work in known.queue:
-            known.queue.remove(work)
-            known.held -= 1
-        return out
+        """Removes a queued call whose client has disconnected; a running call goes on."""
+        effects = self.advance(now)
+        function_state = self._functions.get(work.function)
+        if function_state and work in function_state.queue:
+            function_state.queue.remove(work)
+            function_state.held -= 1
+        return effects
 
     def next(self, now: int) -> int | None:
-        """When `advance` is wanted next."""
+        """When `advance` must be called next; None if nothing is due."""
         if self.frozen or self.fallen:
             return None
-        times = [due for due, _, _ in self._starts]
+        times = [due for due, _, _ in self._starting_copies]
         if self._running:
-            rate = self._rate(now)
-            least = min(work.left for work in self._running)
-            # A cold server speeds up as it goes: look again before the warm-up has changed much.
-            ahead = min(least / rate, 50_000) if self.share(now) < 1 else least / rate
-            times.append(now + max(1, math.ceil(ahead)))
-        idle = [c.idle_since for f in self._functions.values() for c in f.copies if c.standing and not c.busy]
+            rate = self._work_rate(now)
+            min_left = min(work.left for work in self._running)
+            # The rate of a cold server rises all the time: compute it anew every 50 ms.
+            delay = min(min_left / rate, 50_000) if self.share(now) < 1 else min_left / rate
+            times.append(now + max(1, math.ceil(delay)))
+        idle = [
+            copy.idle_since
+            for function in self._functions.values()
+            for copy in function.copies
+            if copy.standing and not copy.busy
+        ]
         if idle:
             times.append(min(idle) + self.machine.idle_us)
         return min(times, default=None)
 
     def advance(self, now: int) -> list[Effect]:
-        """Let time pass."""
-        out: list[Effect] = []
+        """Advances the state to `now` and returns the effects."""
+        effects: list[Effect] = []
         if self.frozen or self.fallen:
             self._at = now
-            return out
+            return effects
         while True:
-            starts = min((due for due, _, _ in self._starts), default=now + 1)
-            rate = self._rate(self._at) if self._running else 0.0
-            least = min((work.left for work in self._running), default=math.inf)
-            ends = self._at + max(1, math.ceil(least / rate)) if rate else now + 1
+            starts = min((due for due, _, _ in self._starting_copies), default=now + 1)
+            rate = self._work_rate(self._at) if self._running else 0.0
+            min_left = min((work.left for work in self._running), default=math.inf)
+            ends = self._at + max(1, math.ceil(min_left / rate)) if rate else now + 1
             at = min(now, starts, ends)
             at = max(at, self._at)
             for work in self._running:
                 work.left -= rate * (at - self._at)
             self._at = at
             for work in [w for w in self._running if w.left <= 1e-6]:
-                out.append(self._finish(at, work))
-            for start in [s for s in self._starts if s[0] <= at]:
-                self._starts.remove(start)
-                self._stand(at, start[1], start[2], out)
+                effects.append(self._finish(at, work))
+            for start in [s for s in self._starting_copies if s[0] <= at]:
+                self._starting_copies.remove(start)
+                self._on_copy_started(at, start[1], start[2], effects)
             if at >= now and ends > now and starts > now:
                 break
-        self._expire(now)
-        return out
+        self._drop_idle_copies(now)
+        return effects
 
-    # Inside.
+    # Internals.
 
-    def _rate(self, now: int) -> float:
-        m, running = self.machine, len(self._running)
-        return m.speed * min(1.0, m.cores / running) * self.share(now) / self.slow
+    def _work_rate(self, now: int) -> float:
+        machine, running = self.machine, len(self._running)
+        return machine.speed * min(1.0, machine.cores / running) * self.share(now) / self.slow
 
     def _finish(self, now: int, work: Work) -> Done:
         copy = self._running.pop(work)
@@ -309,70 +323,71 @@
                 self._keys.popitem(last=False)
             work.repeated = work.key in self._keys
             self._keys.setdefault(work.key, now)
-        self._fill(now, function)
+        self._start_queued(now, function)
         return Done(work)
 
-    def _fill(self, now: int, function: _Function) -> None:
+    def _start_queued(self, now: int, function: _Function) -> None:
         for copy in function.standing():
             while function.queue and copy.busy < function.lanes:
                 copy.busy += 1
                 self._running[function.queue.popleft()] = copy
 
-    def _stand(self, now: int, name: str, copy: _Copy, out: list[Effect]) -> None:
+    def _on_copy_started(self, now: int, name: str, copy: _Copy, effects: list[Effect]) -> None:
         function = self._functions[name]
         copy.standing, copy.idle_since = True, now
-        self._fill(now, function)
+        self._start_queued(now, function)
         if function.wanted and len(function.standing()) >= function.wanted:
             function.wanted = 0
-            out.append(Stand(name, len(function.standing()), True))
+            effects.append(Stand(name, len(function.standing()), True))
 
-    def _begin_load(self, now: int, function: _Function, out: list[Effect]) -> bool:
-        if sum(f.loading() for f in self._functions.values()) >= self.machine.loads:
+    def _begin_load(self, now: int, function: _Function, effects: list[Effect]) -> bool:
+        if sum(other.loading() for other in self._functions.values()) >= self.machine.loads:
             return False
-        free = self.machine.memory_mb - self.memory_used()
+        free_mb = self.machine.memory_mb - self.memory_used()
         idle = sorted(
-            ((c.idle_since, f.name, c) for f in self._functions.values() if f is not function
-             for c in f.copies if c.standing and not c.busy), key=lambda entry: entry[:2],
+            ((copy.idle_since, other.name, copy) for other in self._functions.values()
+             if other is not function for copy in other.copies if copy.standing and not copy.busy),
+            key=lambda entry: entry[:2],
         )  # fmt: skip
-        while free < function.memory_mb and idle:
+        while free_mb < function.memory_mb and idle:
             _, name, copy = idle.pop(0)
             other = self._functions[name]
             other.copies.remove(copy)
-            free += other.memory_mb
-            self._tidy(other)
-        if free < function.memory_mb:
+            free_mb += other.memory_mb
+            self._remove_if_unused(other)
+        if free_mb < function.memory_mb:
             return False
         function.copies.append(_Copy())
         self.fetching += 1
-        out.append(Fetch(function.name))
+        effects.append(Fetch(function.name))
         return True
 
-    def _expire(self, now: int) -> None:
-        before = now - self.machine.idle_us
+    def _drop_idle_copies(self, now: int) -> None:
+        idle_limit = now - self.machine.idle_us
         for function in list(self._functions.values()):
             function.copies = [
-                c
-                for c in function.copies
-                if c.busy or not c.standing or c.idle_since > before or function.queue
+                copy
+                for copy in function.copies
+                if copy.busy or not copy.standing or copy.idle_since > idle_limit or function.queue
             ]
-            self._tidy(function)
+            self._remove_if_unused(function)
 
-    def _tidy(self, function: _Function) -> None:
+    def _remove_if_unused(self, function: _Function) -> None:
         if not function.copies and not function.held and self._functions.get(function.name) is function:
             del self._functions[function.name]
 
-    def _push(self, now: int, work_us: float) -> bool:
-        """Whether this arrival pushes a cold server over."""
-        m = self.machine
+    def _exceeds_crash_load(self, now: int, work_us: float) -> bool:
+        """Whether this arrival exceeds the load at which a cold server crashes."""
+        machine = self.machine
         if self.share(now) >= 1.0:
-            self._offered.clear()
+            self._recent_arrivals.clear()
             return False
-        self._offered.append((now, work_us))
-        while self._offered and self._offered[0][0] <= now - m.fall_us:
-            self._offered.popleft()
-        able = m.fall_multiple * self.share(now) * m.cores * m.speed * m.fall_us
-        return sum(work for _, work in self._offered) > able
+        self._recent_arrivals.append((now, work_us))
+        while self._recent_arrivals and self._recent_arrivals[0][0] <= now - machine.fall_us:
+            self._recent_arrivals.popleft()
+        crash_load = machine.fall_multiple * self.share(now) * machine.cores * machine.speed * machine.fall_us
+        return sum(work for _, work in self._recent_arrivals) > crash_load
 
-    def _fall(self) -> list[Effect]:
+    def _crash(self) -> list[Effect]:
         self.fallen = True
         return [Fell()]
