--- a/swiftwell/standins/listing.py
+++ b/swiftwell/standins/listing.py
@@ -1,5 +1,4 @@
-"""The list of workers as a service, late by design: long polling in Consul's form (GET
-/v1/health/service/NAME)."""
+"""A service that lists the workers: Consul's long polling (GET /v1/health/service/NAME), with a set delay."""
 
 from __future__ import annotations
 
@@ -18,30 +17,29 @@
 
 
 class Listing:
-    """What it was told of workers it shows `late_s` later.
-
-    `put` takes an instance: worker, state ("running", "draining", "gone"), kind, zone, cell, started_ms.
-    """
+    """A worker list that shows each change `late_s` after it was reported with `put`."""
 
     def __init__(self, trace: Trace, late_s: float = 0.5) -> None:
         self.trace, self.late_s = trace, late_s
-        self._known: dict[str, dict[str, object]] = {}
+        self._shown: dict[str, dict[str, object]] = {}
         self.index = 1
         self._changed = asyncio.Event()
-        self._told: dict[
-            str, dict[str, tuple[str, object]]
-        ] = {}  # gateway: worker: (state, start) that it was told
-        self._faults: dict[str, float] = {}
-        self.server = Server(self._answer)
+        # By gateway and worker: the state and the start time that the gateway was last sent.
+        self._sent: dict[str, dict[str, tuple[str, object]]] = {}
+        self._fault_ends_at: dict[str, float] = {}
+        self.server = Server(self._handle_request)
         self._port = 0
 
     def start(self, port: int = 0) -> int:
-        """Listen; returns the port."""
+        """Starts listening and returns the port."""
         self._port = self.server.start_on(port)
         return self._port
 
     def put(self, worker: str, state: str = "running", now: bool = False, **meta: object) -> None:
-        """A worker's state has changed."""
+        """Reports a change of a worker, listed at once if `now` is set.
+
+        `state` is "running", "draining" or "gone".  `meta` has the keys kind, zone, cell and started_ms.
+        """
         if now:
             self._show(worker, state, meta)
         else:
@@ -49,92 +47,96 @@
 
     def _show(self, worker: str, state: str, meta: dict[str, object]) -> None:
         if state == "gone":
-            self._known.pop(worker, None)
+            self._shown.pop(worker, None)
         else:
-            self._known[worker] = {"state": state, **meta}
+            self._shown[worker] = {"state": state, **meta}
         self.index += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
     def fault(self, name: str, for_s: float) -> None:
-        """down, hang, cut (answers truncated), empty, half, back (the index goes backwards), malformed,
-        slow."""
+        """Injects a fault for `for_s` seconds.
+
+        down: the server does not listen.  hang: requests get no response.  cut: responses are truncated.
+        empty: no workers are listed.  half: every second worker is listed.  back: the index goes backwards.
+        malformed: every third entry is not an instance.  slow: responses take one second longer.
+        """
         if name not in ("down", "hang", "cut", "empty", "half", "back", "malformed", "slow"):
-            raise ValueError(f"no fault {name!r}")
+            raise ValueError(f"unknown fault {name!r}")
         self.trace.note("fault", worker="list", fault=name, for_s=for_s)
-        self._faults[name] = time.monotonic() + for_s
+        self._fault_ends_at[name] = time.monotonic() + for_s
         if name == "down":
             self.server.stop()
             for stream in list(self.server.streams):
                 stream.close()
-            IOLoop.current().call_later(for_s, self._again)
+            IOLoop.current().call_later(for_s, self._listen_again)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _again(self) -> None:
-        self.server = Server(self._answer)
+    def _listen_again(self) -> None:
+        self.server = Server(self._handle_request)
         self.server.start_on(self._port)
 
-    def _has(self, fault: str) -> bool:
-        return time.monotonic() < self._faults.get(fault, 0.0)
+    def _has_fault(self, fault: str) -> bool:
+        return time.monotonic() < self._fault_ends_at.get(fault, 0.0)
 
-    async def _answer(self, request: Request, stream: IOStream) -> Response | None:
+    async def _handle_request(self, request: Request, stream: IOStream) -> Response | None:
         target = urlsplit(request.target)
         if not target.path.startswith("/v1/health/service/"):
             return Response(404, {}, b"no such resource\n")
-        query = {name: values[-1] for name, values in parse_qs(target.query).items()}
+        parameters = {name: values[-1] for name, values in parse_qs(target.query).items()}
         gateway = request.headers.get("swiftwell-gateway", "")
         self.trace.note("list-asked", gw=gateway)
-        asked = int(query.get("index", "0")) if query.get("index", "0").isdigit() else 0
-        wait = float(query.get("wait", "10s").rstrip("s") or 10)
-        until = time.monotonic() + wait
-        while asked >= self.index and asked and time.monotonic() < until:
+        client_index = int(parameters.get("index", "0")) if parameters.get("index", "0").isdigit() else 0
+        wait_s = float(parameters.get("wait", "10s").rstrip("s") or 10)
+        deadline = time.monotonic() + wait_s
+        while client_index >= self.index and client_index and time.monotonic() < deadline:
             try:
-                await asyncio.wait_for(self._changed.wait(), max(0.01, until - time.monotonic()))
+                await asyncio.wait_for(self._changed.wait(), max(0.01, deadline - time.monotonic()))
             except TimeoutError:
                 break
-        if self._has("hang"):
-            await asyncio.sleep(max(0.0, self._faults["hang"] - time.monotonic()))
+        if self._has_fault("hang"):
+            await asyncio.sleep(max(0.0, self._fault_ends_at["hang"] - time.monotonic()))
             return None
-        return await self._told_to(gateway, stream, asked == 0)
-
-    async def _told_to(self, gateway: str, stream: IOStream, anew: bool) -> Response | None:
-        shown = dict(self._known)
-        if self._has("empty"):
-            shown = {}
-        elif self._has("half"):
-            shown = dict(list(shown.items())[::2])
-        if self._has("slow"):
+        return await self._respond(gateway, stream, client_index == 0)
+
+    async def _respond(self, gateway: str, stream: IOStream, is_first_request: bool) -> Response | None:
+        listed = dict(self._shown)
+        if self._has_fault("empty"):
+            listed = {}
+        elif self._has_fault("half"):
+            listed = dict(list(listed.items())[::2])
+        if self._has_fault("slow"):
             await asyncio.sleep(1.0)
-        body: list[object] = [_instance(worker, meta) for worker, meta in shown.items()]
-        if self._has("malformed"):
+        body: list[object] = [_encode_instance(worker, meta) for worker, meta in listed.items()]
+        if self._has_fault("malformed"):
             body[::3] = ["not an instance" for _ in body[::3]]
-        index = max(1, self.index - 3) if self._has("back") else self.index
-        answer = Response(200, {"x-consul-index": str(index)}, msgspec.json.encode(body))
-        if self._has("cut"):
-            await stream.write(encode(answer)[: -len(answer.body) // 2])
+        index = max(1, self.index - 3) if self._has_fault("back") else self.index
+        response = Response(200, {"x-consul-index": str(index)}, msgspec.json.encode(body))
+        if self._has_fault("cut"):
+            await stream.write(encode(response)[: -len(response.body) // 2])
             return None
-        # Noted just before it is written: a gateway can't have learnt it sooner, and the checker's grace
-        # counts from
-        # here, which is the stricter side.
-        if _left(stream):
-            return None  # to a process that is not there any more: the one started since was told nothing
-        before, after = self._told.get(gateway, {}), {}
-        for worker, meta in shown.items():
-            after[worker] = (str(meta["state"]), meta.get("started_ms", 0))
-            if anew or before.get(worker) != after[worker]:  # a new process knows nothing of what was told
+        # Traced just before the response is written.  A gateway can't have received it sooner, and the
+        # checker's grace period starts here, which is the stricter side.
+        if _has_disconnected(stream):
+            return None  # the process that asked has ended; one started since has not received this
+        previous, current = self._sent.get(gateway, {}), {}
+        for worker, meta in listed.items():
+            current[worker] = (str(meta["state"]), meta.get("started_ms", 0))
+            # The first request comes from a new process, which has no earlier state.
+            if is_first_request or previous.get(worker) != current[worker]:
                 self.trace.note(
-                    "told", gw=gateway, worker=worker, state=after[worker][0], started=after[worker][1]
+                    "told", gw=gateway, worker=worker, state=current[worker][0], started=current[worker][1]
                 )
-        for worker in before:
-            if worker not in after:
+        for worker in previous:
+            if worker not in current:
                 self.trace.note("told", gw=gateway, worker=worker, state="gone", started=0)
-        self._told[gateway] = after
-        return answer
+        self._sent[gateway] = current
+        return response
 
 
-def _left(stream: IOStream) -> bool:
-    """Whether who asked is gone: a stream that is not read does not see its end."""
+def _has_disconnected(stream: IOStream) -> bool:
+    """Whether the client has disconnected; peeks at the socket, as a stream notices this only when read."""
     try:
         return stream.closed() or stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
@@ -143,12 +145,12 @@
         return True
 
 
-def _instance(worker: str, meta: dict[str, object]) -> dict[str, object]:
+def _encode_instance(worker: str, meta: dict[str, object]) -> dict[str, object]:
     host, _, port = worker.rpartition(":")
-    passing = "passing" if meta["state"] == "running" else "warning"
-    strings = {name: str(value) for name, value in meta.items()}
+    status = "passing" if meta["state"] == "running" else "warning"
+    metadata = {name: str(value) for name, value in meta.items()}
     return {
         "Node": {"Node": host},
-        "Service": {"ID": worker, "Service": "calc", "Address": host, "Port": int(port), "Meta": strings},
-        "Checks": [{"CheckID": "service", "Status": passing}],
+        "Service": {"ID": worker, "Service": "calc", "Address": host, "Port": int(port), "Meta": metadata},
+        "Checks": [{"CheckID": "service", "Status": status}],
     }
