--- a/swiftwell/standins/publishers.py
+++ b/swiftwell/standins/publishers.py
@@ -1,9 +1,9 @@
 """Publishers: consoles and substation gateways that publish triggers, wait, retry with the same key, and
-sometimes leave.
+sometimes disconnect early.
 
-Arrivals are drawn ahead and do not wait for answers.  Each try is traced with its own correlation; a retry
-keeps the
-key.  Answers are taken with their time and kind; whether they are right is the checker's matter.
+Arrivals follow a random schedule and do not wait for answers.  Each attempt is traced with a correlation of
+its own; a retry keeps the key.  Answers are recorded with their time and kind; the checker decides whether
+they are right.
 """
 
 from __future__ import annotations
@@ -23,7 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Habit:
-    """A class of calls as publishers make it."""
+    """How publishers make the calls of one request class.
+
+    `share`: the weight of the class among all calls.  `patience_s`: how long a publisher waits for an answer.
+    `functions`: number of functions that calls are drawn from.  `wanted_s`: the latency that is wanted.
+    `worth`: the value of an answer in time.
+    """
 
     request_class: str
     share: float
@@ -37,7 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is published: `rate` triggers a second for `for_s`, times `bursts` (start, length, times)."""
+    """What is published: `rate` triggers per second for `for_s` seconds.
+
+    `bursts` holds (start in s, length in s, factor on the rate).
+    """
 
     rate: float
     for_s: float
@@ -45,11 +53,11 @@
     clients: int = 4
     retries: int = 2
     retry_s: float = 0.3
-    honour: float = 0.0  # share of refusals after which the told wait is kept to
-    leave: float = 0.0  # share of tries whose publisher leaves before the answer
-    one_off: float = 0.0  # share of calls for a function that nobody asks for again
+    honour: float = 0.0  # fraction of refusals after which publishers wait as long as they were asked to
+    leave: float = 0.0  # fraction of attempts whose publisher disconnects before the answer
+    one_off: float = 0.0  # fraction of calls for a function that is called only once
     bursts: tuple[tuple[float, float, float], ...] = ()
-    skew_ms: float = 0.0  # publishers' clocks against ours
+    skew_ms: float = 0.0  # how far the publishers' clocks are ahead of the clock of this process
 
 
 @dataclass(slots=True, eq=False)
@@ -59,15 +67,16 @@
     function: str
     tries: int = 0
     over: bool = False
-    began: float = 0.0
-    unanswered: bool = False  # a try ended without an answer
-    wait_s: float = 0.0  # for which the last refusal sent it away
+    started_at: float = 0.0
+    unanswered: bool = False  # an attempt ended without an answer
+    retry_after_s: float = 0.0  # time to wait that the last refusal asked for
 
 
 class Publishers:
-    """A crowd of clients that share the calls of a plan.
+    """A group of clients that share the calls of a plan.
 
-    `addresses`: HOST:PORT of endpoints or brokers, clients take them in turn.  `version` 4 or 5.
+    `addresses` are HOST:PORT of endpoints or brokers, which the clients use in rotation.  `version` is the
+    protocol version of MQTT, 4 or 5.
     """
 
     def __init__(
@@ -75,23 +84,23 @@
         topic: str = "calls",
     ) -> None:  # fmt: skip
         self.trace, self.plan, self._addresses, self._version = trace, plan, addresses, version
-        self._chance = random.Random(seed)
+        self._random = random.Random(seed)
         self._name, self._topic = name, topic
         self._clients: list[Any] = []
-        self._waiting: dict[str, tuple[Call, asyncio.Future[str], int]] = {}
+        self._pending: dict[str, tuple[Call, asyncio.Future[str], int]] = {}
         self._number = 0
         self._tasks: set[asyncio.Task] = set()
-        self._connecting: set[int] = set()
+        self._clients_connecting: set[int] = set()
 
     async def run(self) -> None:
-        """Publish the plan and wait for every try's end."""
+        """Publishes the plan and waits until every attempt has ended."""
         for number in range(self.plan.clients):
-            self._clients.append(self._client(number))
+            self._clients.append(self._make_client(number))
             await self._connect(number)
         start = time.monotonic()
-        for at in self._arrivals():
+        for at in self._arrival_times():
             await asyncio.sleep(max(0.0, start + at - time.monotonic()))
-            task = asyncio.ensure_future(self._call(self._draw()))
+            task = asyncio.ensure_future(self._run_call(self._draw_call()))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         while self._tasks:
@@ -100,197 +109,210 @@
             client._on_end = None
             await client.close()
 
-    def _client(self, number: int) -> Any:
+    def _make_client(self, number: int) -> Any:
         return Client(
-            f"{self._name}-{number}", self._version, on_message=self._answer, session_s=600,
-            on_end=lambda why: self._ended(number, why),
+            f"{self._name}-{number}", self._version, on_message=self._on_message, session_s=600,
+            on_end=lambda reason: self._on_connection_end(number, reason),
         )  # fmt: skip
 
-    async def _open(self, number: int, host: str, port: int) -> None:
-        """Connect one client, so that it can be answered."""
-        _mark(self._clients[number])
+    async def _open_connection(self, number: int, host: str, port: int) -> None:
+        """Connects one client and subscribes it to its answers."""
+        _mark_as_retries(self._clients[number])
         await self._clients[number].connect(host, port)
         await self._clients[number].subscribe(f"answers/{self._name}-{number}")
 
-    def _send(self, call: Call, corr: str, number: int, attempt: int, patience: float) -> None:
-        self._clients[number].publish(self._message(call, corr, number, attempt, patience))
+    def _publish(self, call: Call, correlation: str, number: int, attempt: int, timeout_s: float) -> None:
+        self._clients[number].publish(self._build_publish(call, correlation, number, attempt, timeout_s))
 
     async def _connect(self, number: int) -> None:
-        """Connect, again and again: addresses in turn.  One at a time for a client, or they take over from
-        each other."""
-        if number in self._connecting:
+        """Connects a client, retrying with each address in rotation.
+
+        Only one such task may run per client, as concurrent connections would take over from each other.
+        """
+        if number in self._clients_connecting:
             return
-        self._connecting.add(number)
+        self._clients_connecting.add(number)
         try:
-            await self._until_connected(number)
+            await self._connect_with_retries(number)
         finally:
-            self._connecting.discard(number)
+            self._clients_connecting.discard(number)
 
-    async def _until_connected(self, number: int) -> None:
-        turn = number
+    async def _connect_with_retries(self, number: int) -> None:
+        address_index = number
         while True:
-            host, _, port = self._addresses[turn % len(self._addresses)].rpartition(":")
-            turn += len(self._addresses) > 1
+            host, _, port = self._addresses[address_index % len(self._addresses)].rpartition(":")
+            address_index += len(self._addresses) > 1
             self.trace.note("connecting", client=f"{self._name}-{number}", to=f"{host}:{port}")
             try:
-                await self._open(number, host, int(port))
+                await self._open_connection(number, host, int(port))
                 if self._clients[number].connection is None:
-                    continue  # lost again meanwhile
+                    continue  # the connection was lost again meanwhile
                 self.trace.note("connected", client=f"{self._name}-{number}", to=f"{host}:{port}")
                 return
             except (Refused, OSError, TimeoutError):
-                await asyncio.sleep(self._chance.uniform(0.1, 0.3))
+                await asyncio.sleep(self._random.uniform(0.1, 0.3))
 
-    def _ended(self, number: int, why: str) -> None:
-        self.trace.note("disconnected", client=f"{self._name}-{number}", why=why)
+    def _on_connection_end(self, number: int, reason: str) -> None:
+        self.trace.note("disconnected", client=f"{self._name}-{number}", why=reason)
         task = asyncio.ensure_future(self._connect(number))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _arrivals(self) -> list[float]:
-        plan, at, out = self.plan, 0.0, []
+    def _arrival_times(self) -> list[float]:
+        plan, at, arrival_times = self.plan, 0.0, []
         while True:
-            times = 1.0
+            rate_factor = 1.0
             for start, length, factor in plan.bursts:
                 if start <= at < start + length:
-                    times *= factor
-            at += self._chance.expovariate(plan.rate * times)
+                    rate_factor *= factor
+            at += self._random.expovariate(plan.rate * rate_factor)
             if at >= plan.for_s:
-                return out
-            out.append(at)
+                return arrival_times
+            arrival_times.append(at)
 
-    def _draw(self) -> Call:
+    def _draw_call(self) -> Call:
         plan = self.plan
-        habit = self._chance.choices(plan.habits, [h.share for h in plan.habits])[0]
+        habit = self._random.choices(plan.habits, [habit.share for habit in plan.habits])[0]
         self._number += 1
-        if self._chance.random() < plan.one_off:
+        if self._random.random() < plan.one_off:
             function = f"once/{self._name}-{self._number}"
-        else:  # a few functions draw most calls
-            rank = int(habit.functions ** self._chance.random()) - 1
+        else:  # most calls go to a few functions
+            rank = int(habit.functions ** self._random.random()) - 1
             function = f"heat/{habit.request_class}-{rank}"
         return Call(f"{self._name}-{self._number}", habit, function)
 
-    async def _call(self, call: Call) -> None:
-        """All tries of one call."""
-        number = self._chance.randrange(len(self._clients))
-        call.began = time.monotonic()
+    async def _run_call(self, call: Call) -> None:
+        """Makes all attempts of one call."""
+        number = self._random.randrange(len(self._clients))
+        call.started_at = time.monotonic()
         for attempt in range(self.plan.retries + 1):
-            patience = call.habit.patience_s * (1.0 if attempt == 0 else self._chance.uniform(0.5, 1.0))
-            kind = await self._try(call, number, attempt, patience)
+            timeout_s = call.habit.patience_s * (1.0 if attempt == 0 else self._random.uniform(0.5, 1.0))
+            kind = await self._attempt(call, number, attempt, timeout_s)
             if kind in ("served", "left"):
                 return
             call.unanswered |= kind != "refused"
             if kind == "failed" and call.habit.request_class.startswith("consigna"):
-                return  # it may have run; asking again with the same key would say the same
-            await asyncio.sleep(self._rest(call, kind))
+                return  # it may have run; a retry with the same key would get the same answer
+            await asyncio.sleep(self._retry_delay_s(call, kind))
 
-    def _rest(self, call: Call, kind: str) -> float:
-        """Seconds until the next try: as told, or as their own habit is."""
-        told = kind == "refused" and call.wait_s and self.plan.honour
-        told = told and self._chance.random() < self.plan.honour
-        return call.wait_s if told else self.plan.retry_s * self._chance.uniform(0.5, 1.5)
+    def _retry_delay_s(self, call: Call, kind: str) -> float:
+        """Delay until the next attempt: what the refusal asked for, or the plan's own with jitter."""
+        honours_wait = kind == "refused" and call.retry_after_s and self.plan.honour
+        honours_wait = honours_wait and self._random.random() < self.plan.honour
+        return call.retry_after_s if honours_wait else self.plan.retry_s * self._random.uniform(0.5, 1.5)
 
-    async def _try(self, call: Call, number: int, attempt: int, patience: float) -> str:
+    async def _attempt(self, call: Call, number: int, attempt: int, timeout_s: float) -> str:
         client = self._clients[number]
         if client.connection is None:
             self.trace.note("unsent", key=call.key)
-            await asyncio.sleep(patience / 2)
+            await asyncio.sleep(timeout_s / 2)
             return "unsent"
-        corr = f"{call.key}.{attempt}"
+        correlation = f"{call.key}.{attempt}"
         future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self._waiting[corr] = (call, future, number)
+        self._pending[correlation] = (call, future, number)
         now = time.monotonic_ns() // 1_000
-        leaves = self._chance.random() < self.plan.leave
+        leaves = self._random.random() < self.plan.leave
         if leaves:
-            return await self._leaver(call, corr, number, attempt, patience)
-        self._note(call, corr, f"{self._name}-{number}", attempt, now, patience)
-        self._send(call, corr, number, attempt, patience)
+            return await self._publish_and_disconnect(call, correlation, number, attempt, timeout_s)
+        self._trace_attempt(call, correlation, f"{self._name}-{number}", attempt, now, timeout_s)
+        self._publish(call, correlation, number, attempt, timeout_s)
         try:
-            return await asyncio.wait_for(asyncio.shield(future), patience)
+            return await asyncio.wait_for(asyncio.shield(future), timeout_s)
         except TimeoutError:
-            self.trace.note("gave-up", corr=corr)
+            self.trace.note("gave-up", corr=correlation)
             return "gave-up"
 
-    def _note(self, call: Call, corr: str, client: str, number: int, now: int, patience: float) -> None:
+    def _trace_attempt(
+        self, call: Call, correlation: str, client: str, number: int, now: int, timeout_s: float
+    ) -> None:
         habit = call.habit
         self.trace.note(
             "try",
             client=client,
-            corr=corr,
+            corr=correlation,
             key=call.key,
             band=habit.request_class,
             tenant=habit.tenant,
             function=call.function,
             number=number,
-            until=now + int(patience * 1e6),
+            until=now + int(timeout_s * 1e6),
             worth=habit.worth,
             wanted=int(habit.wanted_s * 1e6),
         )
 
-    async def _leaver(self, call: Call, corr: str, number: int, attempt: int, patience: float) -> str:
-        """A publisher of its own that goes away before its answer."""
-        name = f"{self._name}-leaver-{corr}"
+    async def _publish_and_disconnect(
+        self, call: Call, correlation: str, number: int, attempt: int, timeout_s: float
+    ) -> str:
+        """Publishes from a separate client, which disconnects before its answer."""
+        name = f"{self._name}-leaver-{correlation}"
         client = Client(name, self._version)
-        self._waiting.pop(corr, None)
+        self._pending.pop(correlation, None)
         host, _, port = self._addresses[number % len(self._addresses)].rpartition(":")
         try:
             await client.connect(host, int(port))
         except (Refused, OSError, TimeoutError):
             return "unsent"
         self.trace.note("connected", client=name, to=f"{host}:{port}")
-        self._note(call, corr, name, attempt, time.monotonic_ns() // 1_000, patience)
-        self.trace.note("left", corr=corr)
-        client.publish(self._message(call, corr, number, attempt, patience))
-        await asyncio.sleep(self._chance.uniform(0.01, 0.1))
+        self._trace_attempt(call, correlation, name, attempt, time.monotonic_ns() // 1_000, timeout_s)
+        self.trace.note("left", corr=correlation)
+        client.publish(self._build_publish(call, correlation, number, attempt, timeout_s))
+        await asyncio.sleep(self._random.uniform(0.01, 0.1))
         client.abort()
         return "left"
 
-    def _message(self, call: Call, corr: str, number: int, attempt: int, patience: float) -> Publish:
+    def _build_publish(
+        self, call: Call, correlation: str, number: int, attempt: int, timeout_s: float
+    ) -> Publish:
         topic = f"{self._topic}/{call.habit.tenant}/{call.habit.request_class}/{call.function}"
-        sent = time.time() * 1e3 + self.plan.skew_ms
-        timeout = patience * 1e3
+        sent_ms = time.time() * 1e3 + self.plan.skew_ms
+        timeout_ms = timeout_s * 1e3
         if self._version == V311:
             envelope = {
                 "body": {"call": call.key}, "key": call.key, "reply": f"answers/{self._name}-{number}",
-                "correlation": corr, "timeout_ms": timeout, "sent_ms": sent, "attempt": attempt,
+                "correlation": correlation, "timeout_ms": timeout_ms, "sent_ms": sent_ms, "attempt": attempt,
             }  # fmt: skip
             return Publish(topic, msgspec.json.encode(envelope), call.habit.qos)
-        user = [("key", call.key), ("timeout-ms", f"{timeout:.0f}"), ("sent-ms", f"{sent:.3f}")]
+        user_properties = [
+            ("key", call.key),
+            ("timeout-ms", f"{timeout_ms:.0f}"),
+            ("sent-ms", f"{sent_ms:.3f}"),
+        ]
         if attempt:
-            user += [("attempt", str(attempt)), ("unanswered", str(int(call.unanswered)))]
+            user_properties += [("attempt", str(attempt)), ("unanswered", str(int(call.unanswered)))]
         properties = {
             "response_topic": f"answers/{self._name}-{number}",
-            "correlation_data": corr.encode(),
-            "message_expiry": int(patience) + 1,
-            "user": user,
+            "correlation_data": correlation.encode(),
+            "message_expiry": int(timeout_s) + 1,
+            "user": user_properties,
         }
         return Publish(topic, f"{call.key} payload".encode(), call.habit.qos, properties=properties)
 
-    def _answer(self, message: Publish) -> None:
+    def _on_message(self, message: Publish) -> None:
         if self._version == V311:
-            told = msgspec.json.decode(message.payload)
-            corr, kind, reason = told["correlation"], told["status"], told["reason"]
-            wait = told.get("wait_ms", 0)
+            envelope = msgspec.json.decode(message.payload)
+            correlation, kind, reason = envelope["correlation"], envelope["status"], envelope["reason"]
+            wait_ms = envelope.get("wait_ms", 0)
         else:
             user = dict(message.properties.get("user", []))
-            corr = message.properties.get("correlation_data", b"").decode()
-            kind, reason, wait = user.get("status", ""), user.get("reason", ""), user.get("wait-ms", 0)
-        self._told(corr, kind, reason, message.dup, wait)
+            correlation = message.properties.get("correlation_data", b"").decode()
+            kind, reason, wait_ms = user.get("status", ""), user.get("reason", ""), user.get("wait-ms", 0)
+        self._on_answer(correlation, kind, reason, message.dup, wait_ms)
 
-    def _told(self, corr: str, kind: str, reason: str, dup: bool, wait_ms: object = 0) -> None:
-        self.trace.note("answer", corr=corr, kind=kind, reason=reason, dup=dup)
-        if corr not in self._waiting:
+    def _on_answer(self, correlation: str, kind: str, reason: str, dup: bool, wait_ms: object = 0) -> None:
+        self.trace.note("answer", corr=correlation, kind=kind, reason=reason, dup=dup)
+        if correlation not in self._pending:
             return
-        call, future, _ = self._waiting[corr]
+        call, future, _ = self._pending[correlation]
         if not future.done():
-            call.wait_s = float(str(wait_ms)) / 1e3
+            call.retry_after_s = float(str(wait_ms)) / 1e3
             future.set_result(kind)
 
 
-def _mark(client: Client) -> None:
-    """What was sent and not acknowledged may go to another gateway now: it is marked as tried before.
+def _mark_as_retries(client: Client) -> None:
+    """Marks unacknowledged messages as retries, because they may now reach another gateway.
 
-    In 5.0 only; a 3.1.1 publisher's messages go out again as they are, marked DUP where the session goes on.
+    Only in MQTT 5.0: the messages of a 3.1.1 publisher are sent again unchanged, with DUP set if the session
+    is resumed.
     """
     for message in client.session.outbox.unacknowledged():
         user = message.properties.get("user")
