--- a/swiftwell/standins/broker.py
+++ b/swiftwell/standins/broker.py
@@ -1,8 +1,7 @@
-"""An MQTT broker stand-in, from the public standards: sessions, QoS 0 to 2, shared subscriptions, expiry,
-wills; faults.
+"""A stand-in for an MQTT broker, written from the public standards, with faults to inject.
 
-It shares the codec with the gateway, so paho-mqtt is its independent peer in the tests.  No retained
-messages.
+It has sessions, QoS 0 to 2, shared subscriptions, message expiry and wills, but no retained messages.  It
+shares the codec with the gateway, so paho-mqtt is its independent peer in the tests.
 """
 
 from __future__ import annotations
@@ -39,8 +38,8 @@
 from swiftwell.fronts.mqtt.session import Session, handshake_window
 from swiftwell.proof.trace import Trace
 
-RECEIVE = 1_000
-BOUND = 50_000  # messages that may wait for one client
+RECEIVE_MAXIMUM = 1_000
+MAX_WAITING = 50_000  # messages queued for one client
 
 
 @dataclass(eq=False)
@@ -48,13 +47,12 @@
     id: str
     session: Session
     connection: Connection | None = None
-    expiry: float = 0.0
-    until: float = 0.0
-    keep_alive: float = 0.0
+    session_expiry_s: float = 0.0
+    session_expires_at: float = 0.0
+    keep_alive_s: float = 0.0
     will: Publish | None = None
-    waiting: deque[tuple[Publish, float]] = field(
-        default_factory=deque
-    )  # (message, when it expires; 0 never)
+    # Queued messages, each with its expiry time; 0 if it never expires.
+    waiting: deque[tuple[Publish, float]] = field(default_factory=deque)
 
 
 class _Server(TCPServer):
@@ -67,7 +65,7 @@
 
 
 class Broker:
-    """The broker.  Its faults are methods' names in `fault`."""
+    """The broker.  `fault` injects faults."""
 
     def __init__(self, trace: Trace) -> None:
         self.trace = trace
@@ -75,36 +73,39 @@
         self._connections: set[Connection] = set()
         self._server = _Server(self)
         self._port = 0
-        self._turn: dict[str, int] = {}
-        self._faults: dict[str, float] = {}
+        self._next_member: dict[str, int] = {}
+        self._fault_ends_at: dict[str, float] = {}
         self._sweeper: object = None
 
     def start(self, port: int = 0) -> int:
-        """Listen; returns the port."""
+        """Starts listening and returns the port."""
         self._server.listen(port, "127.0.0.1", backlog=1_024)
         self._port = next(iter(self._server._sockets.values())).getsockname()[1]
         IOLoop.current().call_later(0.5, self._sweep)
         return self._port
 
     def fault(self, name: str, for_s: float = 1.0, keep: bool = True) -> None:
-        """restart (away for `for_s`; `keep` its sessions), stall (reads and writes nothing), lose_acks
-        (those that
-        clients send for what they got), duplicate (what is delivered comes twice, over a lost connection)."""
+        """Injects a fault for `for_s` seconds.
+
+        restart: the broker is down; with `keep` it keeps its sessions.  stall: packets from clients wait.
+        lose_acks: acknowledgements from clients are ignored.  duplicate: messages are delivered twice,
+        acknowledgements are ignored, and all connections are cut at the end.
+        """
         self.trace.note("fault", worker="broker", fault=name, for_s=for_s)
         if name == "restart":
             self._restart(for_s, keep)
         elif name in ("stall", "lose_acks", "duplicate"):
-            self._faults[name] = time.monotonic() + for_s
+            self._fault_ends_at[name] = time.monotonic() + for_s
             if name == "duplicate":
-                IOLoop.current().call_later(for_s, self._cut)
+                IOLoop.current().call_later(for_s, self._abort_connections)
         else:
-            raise ValueError(f"no fault {name!r}")
+            raise ValueError(f"unknown fault {name!r}")
 
-    def _has(self, name: str) -> bool:
-        return time.monotonic() < self._faults.get(name, 0.0)
+    def _has_fault(self, name: str) -> bool:
+        return time.monotonic() < self._fault_ends_at.get(name, 0.0)
 
-    def _cut(self) -> None:
-        """Lose every connection: what was not acknowledged is delivered again."""
+    def _abort_connections(self) -> None:
+        """Aborts every connection, so that unacknowledged messages are delivered again."""
         for connection in list(self._connections):
             connection.abort("cut by a fault")
 
@@ -115,46 +116,46 @@
         if not keep:
             self._clients.clear()
         self.trace.note("broker-down", keep=keep)
-        IOLoop.current().call_later(for_s, self._again)
+        IOLoop.current().call_later(for_s, self._listen_again)
 
-    def _again(self) -> None:
+    def _listen_again(self) -> None:
         self._server = _Server(self)
         self._server.listen(self._port, "127.0.0.1", backlog=1_024)
         self.trace.note("broker-up")
 
     async def serve(self, stream: IOStream) -> None:
-        """Serve one connection."""
+        """Serves one connection."""
         stream.set_nodelay(True)
         connection = Connection(stream, 0, 1 << 24, 1 << 26)
         self._connections.add(connection)
-        client: list[_Client] = []
+        opened_client: list[_Client] = []
         packets: asyncio.Queue[Packet] = asyncio.Queue()
 
-        def take(packet: Packet) -> None:
+        def on_packet(packet: Packet) -> None:
             if isinstance(packet, Connect):
                 if opened := self._open(connection, packet):
-                    client.append(opened)
-            elif client and (self._has("stall") or not packets.empty()):
+                    opened_client.append(opened)
+            elif opened_client and (self._has_fault("stall") or not packets.empty()):
                 packets.put_nowait(packet)
-            elif client:
-                self._packet(client[0], connection, packet)
+            elif opened_client:
+                self._handle_packet(opened_client[0], connection, packet)
 
-        async def stalled() -> None:
+        async def process_delayed() -> None:
             while True:
                 packet = await packets.get()
-                while self._has("stall"):
+                while self._has_fault("stall"):
                     await asyncio.sleep(0.05)
                 if not connection.closed:
-                    self._packet(client[0], connection, packet)
+                    self._handle_packet(opened_client[0], connection, packet)
 
-        late = asyncio.ensure_future(stalled())
+        delayed_task = asyncio.ensure_future(process_delayed())
         try:
-            await connection.run(take)
+            await connection.run(on_packet)
         finally:
-            late.cancel()
+            delayed_task.cancel()
             self._connections.discard(connection)
-            if client:
-                self._lost(client[0], connection)
+            if opened_client:
+                self._on_connection_lost(opened_client[0], connection)
 
     def _open(self, connection: Connection, packet: Connect) -> _Client | None:
         if not packet.client_id and not packet.clean:
@@ -164,15 +165,17 @@
         client = self._clients.get(client_id)
         if client and client.connection:
             client.connection.close(Reason.TAKEN_OVER, "the client connected again")
-            self._lost(client, client.connection)
+            self._on_connection_lost(client, client.connection)
             client = self._clients.get(client_id)
-        present = client is not None and not packet.clean
-        if not present or client is None:
-            client = self._clients[client_id] = _Client(client_id, Session(RECEIVE, BOUND))
-        v5 = packet.version == V5
+        session_present = client is not None and not packet.clean
+        if not session_present or client is None:
+            client = self._clients[client_id] = _Client(client_id, Session(RECEIVE_MAXIMUM, MAX_WAITING))
+        is_v5 = packet.version == V5
         client.connection = connection
-        client.expiry = packet.properties.get("session_expiry", 0) if v5 else 0 if packet.clean else 3_600
-        client.keep_alive = packet.keep_alive
+        client.session_expiry_s = (
+            packet.properties.get("session_expiry", 0) if is_v5 else 0 if packet.clean else 3_600
+        )
+        client.keep_alive_s = packet.keep_alive
         client.session.outbox.window = handshake_window(packet.properties)
         client.will = None
         if packet.will:
@@ -181,37 +184,41 @@
             client.will = Publish(will.topic, will.payload, will.qos, properties=properties)
         connection.peer_max_packet_bytes = packet.properties.get("maximum_packet", 0)
         connection.connected = True
-        told: dict[str, object] = {"receive_maximum": RECEIVE, "retain_available": 0} if v5 else {}
-        if v5 and not packet.client_id:
-            told["assigned_client_id"] = client_id
-        connection.send([Connack(present, 0, told)])
-        self.trace.note("client", client=client_id, state="up", present=present)
-        for again in client.session.outbox.resume():
-            if isinstance(again, Publish):
-                self._note_delivery(client, again)
-            connection.send([again])
-        self._flow(client)
+        connack_properties: dict[str, object] = (
+            {"receive_maximum": RECEIVE_MAXIMUM, "retain_available": 0} if is_v5 else {}
+        )
+        if is_v5 and not packet.client_id:
+            connack_properties["assigned_client_id"] = client_id
+        connection.send([Connack(session_present, 0, connack_properties)])
+        self.trace.note("client", client=client_id, state="up", present=session_present)
+        for resumed in client.session.outbox.resume():
+            if isinstance(resumed, Publish):
+                self._trace_delivery(client, resumed)
+            connection.send([resumed])
+        self._deliver(client)
         return client
 
-    def _packet(self, client: _Client, connection: Connection, packet: Packet) -> None:
+    def _handle_packet(self, client: _Client, connection: Connection, packet: Packet) -> None:
         match packet:
             case Publish():
                 if packet.retain:
                     raise ProtocolError(Reason.RETAIN, "nothing is retained here")
-                fresh, now = client.session.inbox.receive(packet)
-                connection.send(list(now))
-                if fresh:
-                    self.trace.note("from", client=client.id, **_seen(packet))
-                    found = self.route(packet)
-                    reason = Reason.OK if found or connection.version != V5 else Reason.NO_SUBSCRIBERS
+                is_new, replies = client.session.inbox.receive(packet)
+                connection.send(list(replies))
+                if is_new:
+                    self.trace.note("from", client=client.id, **_trace_fields(packet))
+                    subscriber_count = self.route(packet)
+                    reason = (
+                        Reason.OK if subscriber_count or connection.version != V5 else Reason.NO_SUBSCRIBERS
+                    )
                     connection.send(list(client.session.inbox.acknowledge(packet.id, reason)))
             case Ack() if packet.type is Type.PUBREL:
                 connection.send(list(client.session.inbox.on_pubrel(packet)))
             case Ack():
-                if self._has("lose_acks") or self._has("duplicate"):
+                if self._has_fault("lose_acks") or self._has_fault("duplicate"):
                     return
                 connection.send(list(client.session.outbox.on_ack(packet)))
-                self._flow(client)
+                self._deliver(client)
             case Ping() if packet.type is Type.PINGREQ:
                 connection.send([Ping(Type.PINGRESP)])
             case Subscribe():
@@ -220,14 +227,14 @@
                 ]
                 connection.send([Suback(Type.SUBACK, packet.id, reasons)])
             case Unsubscribe():
-                known = [client.session.filters.pop(name, None) for name in packet.filters]
-                reasons = [0 if one is not None else Reason.NO_SUBSCRIPTION for one in known]
+                removed = [client.session.filters.pop(name, None) for name in packet.filters]
+                reasons = [0 if options is not None else Reason.NO_SUBSCRIPTION for options in removed]
                 connection.send([Suback(Type.UNSUBACK, packet.id, list(reasons))])
             case Disconnect():
                 if packet.reason != Reason.DISCONNECT_WITH_WILL:
                     client.will = None
                 if "session_expiry" in packet.properties:
-                    client.expiry = packet.properties["session_expiry"]
+                    client.session_expiry_s = packet.properties["session_expiry"]
                 connection.abort("disconnected")
             case _:
                 raise ProtocolError(Reason.PROTOCOL_ERROR, f"a {type(packet).__name__} from a client")
@@ -240,90 +247,100 @@
         client.session.filters[name] = options
         return options & 3
 
-    def _lost(self, client: _Client, connection: Connection) -> None:
+    def _on_connection_lost(self, client: _Client, connection: Connection) -> None:
         if client.connection is not connection:
             return
         client.connection = None
         client.session.inbox.disconnected()
-        client.until = time.monotonic() + client.expiry
+        client.session_expires_at = time.monotonic() + client.session_expiry_s
         self.trace.note("client", client=client.id, state="down", why=connection.close_reason)
         will, client.will = client.will, None
         if will:
             self.route(will)
-        if not client.expiry and self._clients.get(client.id) is client:
+        if not client.session_expiry_s and self._clients.get(client.id) is client:
             del self._clients[client.id]
 
     def route(self, message: Publish) -> int:
-        """Hand a message to its subscribers; how many there are."""
+        """Queues a message for its subscribers and returns their number; a shared group counts as one."""
         shared: dict[str, list[tuple[_Client, int]]] = {}
-        found = 0
+        subscriber_count = 0
         for client in list(self._clients.values()):
-            best = -1
+            max_qos = -1
             for name, options in client.session.filters.items():
                 if name.startswith("$share/"):
-                    _, group, plain = name.split("/", 2)
-                    if matches(plain, message.topic):
-                        shared.setdefault(f"{group}/{plain}", []).append((client, options & 3))
+                    _, group, topic_filter = name.split("/", 2)
+                    if matches(topic_filter, message.topic):
+                        shared.setdefault(f"{group}/{topic_filter}", []).append((client, options & 3))
                 elif matches(name, message.topic):
-                    best = max(best, options & 3)
-            if best >= 0:
-                found += 1
-                self._queue(client, message, best)
+                    max_qos = max(max_qos, options & 3)
+            if max_qos >= 0:
+                subscriber_count += 1
+                self._enqueue(client, message, max_qos)
         for group, members in shared.items():
-            up = [member for member in members if member[0].connection] or members
-            turn = self._turn[group] = self._turn.get(group, -1) + 1
-            found += 1
-            self._queue(*up[turn % len(up)][:1], message, up[turn % len(up)][1])
-        return found
-
-    def _queue(self, client: _Client, message: Publish, qos: int) -> None:
-        if len(client.waiting) >= BOUND or (not client.connection and not min(qos, message.qos)):
+            candidates = [member for member in members if member[0].connection] or members
+            member_index = self._next_member[group] = self._next_member.get(group, -1) + 1
+            subscriber_count += 1
+            self._enqueue(
+                *candidates[member_index % len(candidates)][:1],
+                message,
+                candidates[member_index % len(candidates)][1],
+            )
+        return subscriber_count
+
+    def _enqueue(self, client: _Client, message: Publish, qos: int) -> None:
+        if len(client.waiting) >= MAX_WAITING or (not client.connection and not min(qos, message.qos)):
             return
-        expiry = message.properties.get("message_expiry")
-        until = time.monotonic() + expiry if expiry is not None else 0.0
+        expiry_s = message.properties.get("message_expiry")
+        expires_at = time.monotonic() + expiry_s if expiry_s is not None else 0.0
         copy = Publish(
             message.topic, message.payload, min(qos, message.qos), properties=dict(message.properties)
         )
-        client.waiting.append((copy, until))
-        self._flow(client)
+        client.waiting.append((copy, expires_at))
+        self._deliver(client)
 
-    def _flow(self, client: _Client) -> None:
-        """Deliver what waits, as far as the client's window goes; what has expired is dropped (3.3.2.3.3)."""
+    def _deliver(self, client: _Client) -> None:
+        """Delivers queued messages within the client's window; drops expired ones (MQTT 5.0, 3.3.2.3.3)."""
         while (
             client.waiting and client.connection and len(client.session.outbox) < client.session.outbox.window
         ):
-            message, until = client.waiting.popleft()
-            if until:
-                left = until - time.monotonic()
-                if left <= 0:
-                    self.trace.note("expired", client=client.id, **_seen(message))
+            message, expires_at = client.waiting.popleft()
+            if expires_at:
+                remaining_s = expires_at - time.monotonic()
+                if remaining_s <= 0:
+                    self.trace.note("expired", client=client.id, **_trace_fields(message))
                     continue
-                message.properties["message_expiry"] = max(1, int(left))
-            _, now = client.session.outbox.enqueue(message)
-            for one in now:
-                self._note_delivery(client, one)
-            client.connection.send(list(now))
-            if self._has("duplicate") and message.qos:
-                again = [replace(one, dup=True) for one in now]
-                for one in again:
-                    self._note_delivery(client, one)
-                client.connection.send(list(again))
-
-    def _note_delivery(self, client: _Client, message: Publish) -> None:
-        self.trace.note("to", client=client.id, dup=message.dup, **_seen(message))
+                message.properties["message_expiry"] = max(1, int(remaining_s))
+            _, packets = client.session.outbox.enqueue(message)
+            for packet in packets:
+                self._trace_delivery(client, packet)
+            client.connection.send(list(packets))
+            if self._has_fault("duplicate") and message.qos:
+                duplicates = [replace(packet, dup=True) for packet in packets]
+                for packet in duplicates:
+                    self._trace_delivery(client, packet)
+                client.connection.send(list(duplicates))
+
+    def _trace_delivery(self, client: _Client, message: Publish) -> None:
+        self.trace.note("to", client=client.id, dup=message.dup, **_trace_fields(message))
 
     def _sweep(self) -> None:
         IOLoop.current().call_later(0.5, self._sweep)
         now = time.monotonic()
         for client in list(self._clients.values()):
             connection = client.connection
-            if connection and client.keep_alive and now - connection.received_at > 1.5 * client.keep_alive:
+            if (
+                connection
+                and client.keep_alive_s
+                and now - connection.received_at > 1.5 * client.keep_alive_s
+            ):
                 connection.close(Reason.KEEP_ALIVE, "silent")
-            elif not connection and now > client.until and self._clients.get(client.id) is client:
+            elif (
+                not connection and now > client.session_expires_at and self._clients.get(client.id) is client
+            ):
                 del self._clients[client.id]
 
 
-def _seen(message: Publish) -> dict[str, object]:
-    """What a trace says of a message."""
+def _trace_fields(message: Publish) -> dict[str, object]:
+    """The trace fields that describe a message."""
     correlation = message.properties.get("correlation_data", b"")
     return {"topic": message.topic, "qos": message.qos, "corr": correlation.decode("latin-1")}
