--- a/swiftwell/standins/control.py
+++ b/swiftwell/standins/control.py
@@ -1,6 +1,7 @@
-"""The control channel of a stand-in: one JSON object a line on standard input, `{"do": NAME, ...}`.
+"""The control channel of a stand-in: one JSON object per line on standard input, `{"do": NAME, ...}`.
 
-Answers are JSON lines on standard output.  A script gives the same lines with `at`, seconds after the start.
+Responses are JSON lines on standard output.  A script has the same lines with `at`, in seconds after the
+start.
 """
 
 from __future__ import annotations
@@ -12,28 +13,28 @@
 
 import msgspec
 
-Do = Callable[..., object]
+Command = Callable[..., object]
 
 
 class Controls:
-    """Carries out commands by name; unknown names and wrong fields are told and change nothing."""
+    """Executes commands by name.  An unknown name or a wrong field is reported and changes nothing."""
 
-    def __init__(self, commands: dict[str, Do]) -> None:
+    def __init__(self, commands: dict[str, Command]) -> None:
         self._commands = commands
 
     def run(self, line: str | bytes) -> dict[str, Any]:
-        """One command; what it answered."""
+        """Executes one command and returns its response."""
         try:
-            order = msgspec.json.decode(line, type=dict[str, Any])
-            name = order.pop("do")
+            command = msgspec.json.decode(line, type=dict[str, Any])
+            name = command.pop("do")
             if name not in self._commands:
-                raise ValueError(f"no command {name!r}; known: {', '.join(sorted(self._commands))}")
-            return {"ok": True, "do": name, "result": self._commands[name](**order)}
+                raise ValueError(f"unknown command {name!r}; known: {', '.join(sorted(self._commands))}")
+            return {"ok": True, "do": name, "result": self._commands[name](**command)}
         except (msgspec.DecodeError, KeyError, ValueError, TypeError) as error:
             return {"ok": False, "error": f"{type(error).__name__}: {error}"}
 
     async def listen(self) -> None:
-        """Carry out standard input, line by line; ends the process's main task at its end."""
+        """Executes the commands on standard input until it ends."""
         reader = asyncio.StreamReader(limit=1 << 20)
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -42,7 +43,7 @@
                 say(self.run(line))
 
 
-def say(told: dict[str, Any]) -> None:
-    """One line to whoever controls us."""
-    sys.stdout.write(msgspec.json.encode(told).decode() + "\n")
+def say(message: dict[str, Any]) -> None:
+    """Writes a message as one JSON line to standard output."""
+    sys.stdout.write(msgspec.json.encode(message).decode() + "\n")
     sys.stdout.flush()
