--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -315,7 +315,7 @@
             writer.write(http(b"y" * 500))
 
         async with broker() as b, raw_worker(echo) as w, consuming(tmp_path, b.port, [w]):
-            b.pieces = 1
+            b.max_body_frame_bytes = 1
             publisher = await Publisher().connect(b.port)
             correlation = publisher.publish("consigna", "k", body=b"x" * 2_000)
             assert await publisher.answer(correlation) == ("served", "ok")
@@ -601,7 +601,7 @@
                     await asyncio.sleep(0.12)
 
             load = asyncio.ensure_future(steady())
-            b.pieces = 100  # small frames, so that handovers happen amid contents
+            b.max_body_frame_bytes = 100  # small frames, so that handovers happen amid contents
             for _ in range(3):
                 await asyncio.sleep(0.4)
                 await start("--take-over")
@@ -639,7 +639,7 @@
                     connection.stream.close()
             await asyncio.sleep(0.05)
             await start("--take-over")
-            b._again()
+            b._listen_again()
             assert await publisher.answer(correlation) == ("served", "ok")
 
     run(main())
