--- a/swiftwell/lab/servers.py
+++ b/swiftwell/lab/servers.py
@@ -8,7 +8,17 @@
 from dataclasses import dataclass
 
 from swiftwell.lab.world import World
-from swiftwell.standins.model import CalcServer, Done, Effect, Failed, Fell, Fetch, Machine, Stand, Work
+from swiftwell.standins.model import (
+    CalcServer,
+    Crashed,
+    Done,
+    Effect,
+    Failed,
+    Fetch,
+    LoadOrderEnded,
+    Machine,
+    Work,
+)
 
 FOREVER_S = 3_600.0
 WARM_FOR_US = 172_800_000_000  # us that a server which is warm from the start has been up
@@ -250,7 +260,7 @@
         return "full" if self.world.now < until else ""
 
     def _answer(self, verdict: str, work: Work | None = None) -> Answer:
-        crowd = work.crowd if work else 0
+        crowd = work.function_calls_waiting if work else 0
         return Answer(
             verdict, held=self.model.held, crowd=crowd, draining=verdict == "draining",
             started_us=self.started_us,
@@ -277,7 +287,7 @@
             self._note("turned", gw=gw, call="order", verdict="draining")
             told(self._answer("draining"))
             return
-        state, effects = self.model.hold(self.world.now, function, copies, memory, lanes)
+        state, effects = self.model.order_load(self.world.now, function, copies, memory, lanes)
         if state == "coming":
             self._orders.setdefault(function, []).append(told)
         if self._carry(effects):
@@ -305,13 +315,13 @@
                 case Failed():
                     if told := self._waiting.pop(effect.work, None):
                         told(self._answer("error", effect.work))
-                case Stand():
+                case LoadOrderEnded():
                     for told in self._orders.pop(effect.function, ()):
                         if effect.ok:
                             self._stands(effect.function, told)
                         else:
                             told(self._answer("error"))
-                case Fell():
+                case Crashed():
                     self._note("fell")
                     self.die()
                     return True
@@ -320,11 +330,11 @@
 
     def _fetched(self, function: str, life: int, ok: bool) -> None:
         if life == self._life and not self.down:
-            self._carry(self.model.fetched(self.world.now, function, ok))
+            self._carry(self.model.on_fetched(self.world.now, function, ok))
 
     def _done(self, work: Work) -> None:
         if not work.repeated:
-            self._note("ran", call=work.id, key=work.key, band=work.request_class, found=work.found)
+            self._note("ran", call=work.id, key=work.key, band=work.request_class, found=work.copy_state)
         told = self._waiting.pop(work, None)
         if self._has("die_after"):  # after the effect, before its answer
             del self._until["die_after"]
@@ -338,7 +348,7 @@
             self._note("muted", call=work.id)  # the answer is lost; the connection stays open
             return
         answer = self._answer("", work)
-        answer.found, answer.body = work.found, f"{work.function} {work.id}".encode()
+        answer.found, answer.body = work.copy_state, f"{work.function} {work.id}".encode()
         answer.lost, answer.extra = self._has("reset"), self._has("twice")
         if self._has("large"):
             answer.body = bytes(4_000_000)
@@ -348,7 +358,7 @@
         self._turn += 1
         if self.down:
             return
-        due = self.model.next(self.world.now)
+        due = self.model.next_due(self.world.now)
         if due is not None:
             self.world.at(due, self._tick, self._turn, self._life)
 
--- a/swiftwell/standins/fleet.py
+++ b/swiftwell/standins/fleet.py
@@ -87,8 +87,9 @@
     return Machine(
         kind.cores, kind.speed, kind.memory_mb, day.fleet.queue, day.fleet.loads,
         start_us=day.fleet.start_ms * 1_000, cold_share=day.cold_share, cold_us=day.cold_ms * 1_000,
-        fall_multiple=day.fall_multiple, fall_us=day.fall_ms * 1_000, misses=day.fleet.misses,
-        remembers_us=max((request_class.memory_ms for request_class in day.classes), default=0) * 1_000,
+        crash_multiple=day.fall_multiple, crash_window_us=day.fall_ms * 1_000,
+        rejects_unloaded=day.fleet.misses,
+        key_retention_us=max((request_class.memory_ms for request_class in day.classes), default=0) * 1_000,
     )  # fmt: skip
 
 
--- a/swiftwell/standins/model.py
+++ b/swiftwell/standins/model.py
@@ -16,36 +16,37 @@
 class Machine:
     """The configuration of a calc server.
 
-    `queue`: calls that it accepts at a time, queued and running.  `loads`: concurrent loads.  `idle_us`: time
-    after which an idle copy is dropped.  `start_us`: time from the arrival of a model's bytes until the copy
-    can run calls.  `cold_share`, `cold_us`: fraction of its capacity that a server has right after its start,
-    and the time until it has all of it.  `fall_multiple`, `fall_us`: a cold server crashes if the work sent
-    to it over the last `fall_us` exceeds that multiple of its capacity.  `misses`: rejects calls for
-    functions that have no copy, instead of loading one.  `remembers_us`: how long a call with a key seen
-    before counts as repeated; 0 turns this off.
+    `max_calls`: calls that it accepts at a time, queued and running.  `max_loads`: concurrent loads.
+    `idle_us`: time after which an idle copy is dropped.  `start_us`: time from the arrival of a model's bytes
+    until the copy can run calls.  `cold_share`, `cold_us`: fraction of its capacity that a server has right
+    after its start, and the time until it has all of it.  `crash_multiple`, `crash_window_us`: a cold server
+    crashes if the work sent to it over the last `crash_window_us` exceeds that multiple of its capacity.
+    `rejects_unloaded`: rejects calls for functions that have no copy, instead of loading one.
+    `key_retention_us`: how long a call with a key seen before counts as repeated; 0 turns this off.
     """
 
     cores: float = 4
     speed: float = 1.0
     memory_mb: float = 8_000
-    queue: int = 64
-    loads: int = 4
+    max_calls: int = 64
+    max_loads: int = 4
     idle_us: int = 10_000_000
     start_us: int = 200_000
     cold_share: float = 1.0
     cold_us: int = 0
-    fall_multiple: float = 2.0
-    fall_us: int = 3_000_000
-    misses: bool = False
-    remembers_us: int = 0
+    crash_multiple: float = 2.0
+    crash_window_us: int = 3_000_000
+    rejects_unloaded: bool = False
+    key_retention_us: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Work:
     """One call at a calc server.
 
-    `found`: the state of the function's copies on arrival ("warm", "waited", "loaded").  `crowd`: calls of
-    the same function that were here on arrival.  `left`: work that is still to do, in microseconds.
+    `copy_state`: the state of the function's copies on arrival ("warm", "waited", "loaded").
+    `function_calls_waiting`: calls of the same function that were here on arrival.  `remaining_us`: work that
+    is still to do.
     """
 
     id: str
@@ -55,9 +56,9 @@
     lanes: int = 1
     key: str = ""
     request_class: str = ""
-    found: str = "warm"
-    crowd: int = 0
-    left: float = 0.0
+    copy_state: str = "warm"
+    function_calls_waiting: int = 0
+    remaining_us: float = 0.0
     repeated: bool = False  # its key was seen before: the effect is not performed again
 
 
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Fetch the model of a function, then call `CalcServer.fetched`."""
+    """Fetch the model of a function, then call `CalcServer.on_fetched`."""
 
     function: str
 
@@ -107,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stand:
+class LoadOrderEnded:
     """The load orders for a function have ended; `ok` if as many copies stand as they asked for."""
 
     function: str
@@ -116,11 +117,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fell:
+class Crashed:
     """The server has crashed under its load and does nothing any more."""
 
 
-Effect = Fetch | Done | Failed | Stand | Fell
+Effect = Fetch | Done | Failed | LoadOrderEnded | Crashed
 
 
 class CalcServer:
@@ -176,29 +177,34 @@
         if self._exceeds_crash_load(now, work.work_us):
             return "full", [*effects, *self._crash()]
         function = self._functions.get(work.function)
-        if self.machine.misses and (function is None or not function.copies):
+        if self.machine.rejects_unloaded and (function is None or not function.copies):
             return "miss", effects
-        if self.held >= self.machine.queue:
+        if self.held >= self.machine.max_calls:
             return "full", effects
         if function is None:
             function = self._functions[work.function] = _Function(work.function, work.memory_mb, work.lanes)
-        work.crowd = function.held
+        work.function_calls_waiting = function.held
         if not function.copies and not self._begin_load(now, function, effects):
             return "full", effects
         function.held += 1
         has_copy = bool(function.standing())
-        work.found = "warm" if has_copy else "waited" if work.crowd or function.wanted else "loaded"
-        work.left = work.work_us
+        work.copy_state = (
+            "warm" if has_copy else "waited" if work.function_calls_waiting or function.wanted else "loaded"
+        )
+        work.remaining_us = work.work_us
         function.queue.append(work)
         self._start_queued(now, function)
         if function.queue and has_copy and not function.loading():
             self._begin_load(now, function, effects)  # all lanes are busy: load another copy if there is room
         return "taken", effects
 
-    def hold(
+    def order_load(
         self, now: int, function: str, copies: int, memory_mb: float, lanes: int
     ) -> tuple[str, list[Effect]]:
-        """Handles a load order; returns "stands", "coming" (a `Stand` follows) or "full", and the effects."""
+        """Handles a load order; returns its state and the effects.
+
+        The state is "stands", "coming" (a `LoadOrderEnded` follows) or "full".
+        """
         effects = self.advance(now)
         if self.fallen:
             return "full", effects
@@ -223,7 +229,7 @@
             self._remove_if_unused(function_state)
         return effects
 
-    def fetched(self, now: int, function: str, ok: bool) -> list[Effect]:
+    def on_fetched(self, now: int, function: str, ok: bool) -> list[Effect]:
         """Handles the end of a `Fetch`, successful or not."""
         effects = self.advance(now)
         self.fetching -= 1
@@ -246,7 +252,7 @@
             function_state.queue.clear()
         if function_state.wanted:
             function_state.wanted = 0
-            effects.append(Stand(function, len(function_state.standing()), False))
+            effects.append(LoadOrderEnded(function, len(function_state.standing()), False))
         self._remove_if_unused(function_state)
         return effects
 
@@ -259,16 +265,16 @@
             function_state.held -= 1
         return effects
 
-    def next(self, now: int) -> int | None:
+    def next_due(self, now: int) -> int | None:
         """When `advance` must be called next; None if nothing is due."""
         if self.frozen or self.fallen:
             return None
         times = [due for due, _, _ in self._starting_copies]
         if self._running:
             rate = self._work_rate(now)
-            min_left = min(work.left for work in self._running)
+            min_remaining_us = min(work.remaining_us for work in self._running)
             # The rate of a cold server rises all the time: compute it anew every 50 ms.
-            delay = min(min_left / rate, 50_000) if self.share(now) < 1 else min_left / rate
+            delay = min(min_remaining_us / rate, 50_000) if self.share(now) < 1 else min_remaining_us / rate
             times.append(now + max(1, math.ceil(delay)))
         idle = [
             copy.idle_since
@@ -289,12 +295,12 @@
         while True:
             starts = min((due for due, _, _ in self._starting_copies), default=now + 1)
             rate = self._work_rate(self._at) if self._running else 0.0
-            min_left = min((work.left for work in self._running), default=math.inf)
-            ends = self._at + max(1, math.ceil(min_left / rate)) if rate else now + 1
+            min_remaining_us = min((work.remaining_us for work in self._running), default=math.inf)
+            ends = self._at + max(1, math.ceil(min_remaining_us / rate)) if rate else now + 1
             at = min(now, starts, ends)
             at = max(at, self._at)
             for work in self._running:
-                work.left -= rate * (at - self._at)
+                work.remaining_us -= rate * (at - self._at)
             self._at = at
             for work in [w for w in self._running if w.left <= 1e-6]:
                 effects.append(self._finish(at, work))
@@ -318,8 +324,8 @@
         copy.busy -= 1
         copy.idle_since = now
         function.held -= 1
-        if self.machine.remembers_us and work.key:
-            while self._keys and next(iter(self._keys.values())) < now - self.machine.remembers_us:
+        if self.machine.key_retention_us and work.key:
+            while self._keys and next(iter(self._keys.values())) < now - self.machine.key_retention_us:
                 self._keys.popitem(last=False)
             work.repeated = work.key in self._keys
             self._keys.setdefault(work.key, now)
@@ -338,10 +344,10 @@
         self._start_queued(now, function)
         if function.wanted and len(function.standing()) >= function.wanted:
             function.wanted = 0
-            effects.append(Stand(name, len(function.standing()), True))
+            effects.append(LoadOrderEnded(name, len(function.standing()), True))
 
     def _begin_load(self, now: int, function: _Function, effects: list[Effect]) -> bool:
-        if sum(other.loading() for other in self._functions.values()) >= self.machine.loads:
+        if sum(other.loading() for other in self._functions.values()) >= self.machine.max_loads:
             return False
         free_mb = self.machine.memory_mb - self.memory_used()
         idle = sorted(
@@ -383,11 +389,13 @@
             self._recent_arrivals.clear()
             return False
         self._recent_arrivals.append((now, work_us))
-        while self._recent_arrivals and self._recent_arrivals[0][0] <= now - machine.fall_us:
+        while self._recent_arrivals and self._recent_arrivals[0][0] <= now - machine.crash_window_us:
             self._recent_arrivals.popleft()
-        crash_load = machine.fall_multiple * self.share(now) * machine.cores * machine.speed * machine.fall_us
+        crash_load = (
+            machine.crash_multiple * self.share(now) * machine.cores * machine.speed * machine.crash_window_us
+        )
         return sum(work for _, work in self._recent_arrivals) > crash_load
 
     def _crash(self) -> list[Effect]:
         self.fallen = True
-        return [Fell()]
+        return [Crashed()]
--- a/swiftwell/standins/worker.py
+++ b/swiftwell/standins/worker.py
@@ -16,7 +16,17 @@
 from swiftwell.http.http1 import Request, Response, encode
 from swiftwell.http.server import Server
 from swiftwell.proof.trace import Trace
-from swiftwell.standins.model import CalcServer, Done, Effect, Failed, Fell, Fetch, Machine, Stand, Work
+from swiftwell.standins.model import (
+    CalcServer,
+    Crashed,
+    Done,
+    Effect,
+    Failed,
+    Fetch,
+    LoadOrderEnded,
+    Machine,
+    Work,
+)
 
 FOREVER_S = 3_600.0
 WARM_UPTIME_MS = 172_800_000.0  # uptime that a server reports which is warm from the start: two days
@@ -225,7 +235,7 @@
             if not verdict:
                 self._call_futures[work] = asyncio.get_running_loop().create_future()
             self._execute(effects)
-        report = {"swiftwell-held": str(self.model.held), "swiftwell-crowd": str(work.crowd)}
+        report = {"swiftwell-held": str(self.model.held), "swiftwell-crowd": str(work.function_calls_waiting)}
         if verdict:
             self.trace.note("turned", worker=self.name, gw=gateway, call=call, verdict=verdict)
             status = 404 if verdict == "miss" else 503
@@ -248,7 +258,7 @@
         body = f"{work.function} {work.id}".encode()
         if self._has_fault("large"):
             body = bytes(self._large_body_bytes)
-        response = Response(200, {"swiftwell-found": work.found, **report}, body)
+        response = Response(200, {"swiftwell-found": work.copy_state, **report}, body)
         if self._has_fault("reset"):
             await stream.write(encode(response)[:-3])
             return None
@@ -273,7 +283,7 @@
             self.trace.note("turned", worker=self.name, gw=gateway, call="order", verdict="draining")
             return Response(503, {"swiftwell-verdict": "draining"})
         headers = request.headers
-        order_state, effects = self.model.hold(
+        order_state, effects = self.model.order_load(
             _now_us(), function, int(headers.get("swiftwell-copies", "1")),
             float(headers.get("swiftwell-memory-mb", "100")),
             max(1, int(headers.get("swiftwell-lanes", "1"))),
@@ -306,11 +316,11 @@
                     self._on_call_done(effect.work)
                 case Failed():
                     self._resolve(effect.work, "failed")
-                case Stand():
+                case LoadOrderEnded():
                     for future in self._order_futures.pop(effect.function, ()):
                         if not future.done():
                             future.set_result(effect.ok)
-                case Fell():
+                case Crashed():
                     self.trace.note("fell", worker=self.name)
                     self.die()
                     return
@@ -319,7 +329,12 @@
     def _on_call_done(self, work: Work) -> None:
         if not work.repeated:
             self.trace.note(
-                "ran", worker=self.name, call=work.id, key=work.key, band=work.request_class, found=work.found
+                "ran",
+                worker=self.name,
+                call=work.id,
+                key=work.key,
+                band=work.request_class,
+                found=work.copy_state,
             )
         if self._has_fault("die_after"):  # after the effect of the call and before its response
             del self._fault_ends_at["die_after"]
@@ -336,7 +351,7 @@
         if self._timer:
             IOLoop.current().remove_timeout(self._timer)
             self._timer = None
-        due_us = self.model.next(_now_us())
+        due_us = self.model.next_due(_now_us())
         if due_us is not None and not self.down:
             self._timer = IOLoop.current().call_later(max(0.0, (due_us - _now_us()) / 1e6), self._tick)
 
@@ -357,7 +372,7 @@
                 ok = False
             client.close()
         if incarnation == self._incarnation:
-            self._execute(self.model.fetched(_now_us(), function, ok))
+            self._execute(self.model.on_fetched(_now_us(), function, ok))
 
 
 def _copy_count_response(copies: int) -> Response:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -11,7 +11,7 @@
 from swiftwell.proof.rules import Limits, check
 from swiftwell.proof.trace import Trace, read
 from swiftwell.proof.verdict import quantile, verdict
-from swiftwell.standins.model import CalcServer, Fell, Machine, Work
+from swiftwell.standins.model import CalcServer, Crashed, Machine, Work
 from swiftwell.standins.worker import Worker
 
 LIMITS = Limits(500_000, 1, 0.5, 1_000_000, {"safe": "safe", "unsafe": "unsafe"})
@@ -248,14 +248,16 @@
 
 
 def test_a_cold_server_pushed_over_falls():
-    machine = Machine(cores=2, cold_share=0.2, cold_us=10_000_000, fall_multiple=2.0, fall_us=1_000_000)
+    machine = Machine(
+        cores=2, cold_share=0.2, cold_us=10_000_000, crash_multiple=2.0, crash_window_us=1_000_000
+    )
     server = CalcServer(machine, 0)
     out = []
     for number in range(100):
         out += server.arrive(1_000 * number, Work(f"c{number}", "f", 50_000.0))[1]
-    assert any(isinstance(effect, Fell) for effect in out)
+    assert any(isinstance(effect, Crashed) for effect in out)
     calm = CalcServer(machine, 0)
     out = []
     for number in range(100):
         out += calm.arrive(200_000 * number, Work(f"c{number}", "f", 50_000.0))[1]
-    assert not any(isinstance(effect, Fell) for effect in out)
+    assert not any(isinstance(effect, Crashed) for effect in out)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -256,7 +256,7 @@
 
 def test_a_cold_server_is_pushed_over_by_too_much():
     world = World(1)
-    one = server(world, cold_share=0.1, cold_us=10_000_000, fall_multiple=1.0, fall_us=1_000_000)
+    one = server(world, cold_share=0.1, cold_us=10_000_000, crash_multiple=1.0, crash_window_us=1_000_000)
     one.die(0.1)
     world.run(world.now + 200_000)
     got = [asks(world, one, number) for number in range(40)]
