--- a/swiftwell/lab/clients.py
+++ b/swiftwell/lab/clients.py
@@ -9,13 +9,13 @@
 from swiftwell.lab import constants as c
 from swiftwell.lab.fronts import AmqpBroker, Endpoint, Message, MqttBroker
 from swiftwell.lab.world import World
-from swiftwell.standins.publishers import Habit, Plan
+from swiftwell.standins.publishers import CallProfile, Plan
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
     key: str
-    habit: Habit
+    habit: CallProfile
     function: str
     client: int
     tries: int = 0
@@ -116,15 +116,15 @@
         self.open += 1  # before the next is drawn: the day is over when none comes and none is open
         self._next(at_s)
         plan, draws = self._plan, self._draws
-        pick = draws.uniform(0, sum(habit.share for habit in plan.habits))
-        habit = plan.habits[-1]
-        for one in plan.habits:
+        pick = draws.uniform(0, sum(habit.share for habit in plan.profiles))
+        habit = plan.profiles[-1]
+        for one in plan.profiles:
             pick -= one.share
             if pick < 0:
                 habit = one
                 break
         self._number += 1
-        if draws.uniform() < plan.one_off:
+        if draws.uniform() < plan.single_use_share:
             function = f"once/{self._name}-{self._number}"
         else:
             rank = int(habit.functions ** draws.uniform()) - 1
@@ -135,8 +135,8 @@
     def _try(self, call: _Call) -> None:
         habits, habit, attempt = self._habits, call.habit, call.tries
         call.tries += 1
-        patience = habit.patience_s * (1.0 if attempt == 0 else habits.uniform(0.5, 1.0))
-        leaves = habits.uniform() < self._plan.leave
+        patience = habit.timeout_s * (1.0 if attempt == 0 else habits.uniform(0.5, 1.0))
+        leaves = habits.uniform() < self._plan.disconnect_share
         client = self._clients[call.client]
         if not client.up:
             self.world.note("unsent", "publishers", key=call.key)
@@ -148,7 +148,7 @@
         message = Message(
             name, corr, call.key, habit.request_class, habit.tenant, call.function, now, int(patience * 1e6),
             lambda m, kind, reason, dup: self._answer(call, m, kind, reason, dup), attempt=attempt,
-            unanswered=call.unanswered, qos=habit.qos, priority=min(9, round(habit.worth)),
+            unanswered=call.unanswered, qos=habit.qos, priority=min(9, round(habit.answer_value)),
         )  # fmt: skip
         if leaves:
             gateway = client.gateway if isinstance(self._front, Endpoint) else -1
@@ -157,7 +157,8 @@
         self.world.note(
             "try", "publishers", client=name, corr=corr, key=call.key,
             band=habit.request_class, tenant=habit.tenant, function=call.function, number=attempt,
-            until=now + message.patience_us, worth=habit.worth, wanted=int(habit.wanted_s * 1e6),
+            until=now + message.patience_us, worth=habit.answer_value,
+            wanted=int(habit.target_latency_s * 1e6),
         )  # fmt: skip
         if leaves:
             self.world.note("left", "publishers", corr=corr)
@@ -199,7 +200,7 @@
             if self.done and not self.open:
                 self.over()
             return
-        honour = self._plan.honour
+        honour = self._plan.honour_share
         if told_us and honour and self._habits.uniform() < honour:
             wait_us: float = told_us
         else:
--- a/swiftwell/standins/amqp_publishers.py
+++ b/swiftwell/standins/amqp_publishers.py
@@ -39,7 +39,7 @@
     def _build_amqp_message(
         self, call: Call, correlation: str, number: int, attempt: int, timeout_s: float
     ) -> tuple[str, Properties, bytes]:
-        habit = call.habit
+        profile = call.profile
         function = call.function.replace("/", ".")
         retry_headers: dict[str, object] = {}
         if attempt:
@@ -48,9 +48,9 @@
             call.key, f"answers/{self._name}-{number}", correlation, timeout_s * 1e3,
             time.time() * 1e3 + self.plan.skew_ms, **retry_headers,
         )  # fmt: skip
-        properties.priority = min(9, round(habit.worth))
+        properties.priority = min(9, round(profile.answer_value))
         return (
-            f"{self._topic}.{habit.tenant}.{habit.request_class}.{function}",
+            f"{self._topic}.{profile.tenant}.{profile.request_class}.{function}",
             properties,
             f"{call.key} payload".encode(),
         )
--- a/swiftwell/standins/fleet.py
+++ b/swiftwell/standins/fleet.py
@@ -14,7 +14,7 @@
 from swiftwell.standins.amqp_publishers import AmqpPublishers
 from swiftwell.standins.listing import Listing
 from swiftwell.standins.model import Machine
-from swiftwell.standins.publishers import Habit, Plan, Publishers
+from swiftwell.standins.publishers import CallProfile, Plan, Publishers
 from swiftwell.standins.store import Store
 from swiftwell.standins.worker import Worker
 
@@ -95,18 +95,19 @@
 
 def crowd_plan(day: Day, crowd: DayCrowd, scale: float) -> Plan:
     """The publishing plan of one crowd of a day."""
-    habits = tuple(
-        Habit(
+    profiles = tuple(
+        CallProfile(
             request_class.name, request_class.share, request_class.deadline_ms / 1e3,
-            request_class.functions, request_class.qos, wanted_s=request_class.wanted_ms / 1e3,
-            worth=request_class.worth,
+            request_class.functions, request_class.qos, target_latency_s=request_class.wanted_ms / 1e3,
+            answer_value=request_class.worth,
         )
         for request_class in day.classes
     )  # fmt: skip
     return Plan(
-        crowd.rate * scale, day.seconds, habits, crowd.clients, crowd.retries,
-        honour=crowd.honour, leave=crowd.leave,
-        one_off=crowd.one_off, bursts=tuple((burst.at, burst.for_s, burst.times) for burst in day.bursts),
+        crowd.rate * scale, day.seconds, profiles, crowd.clients, crowd.retries,
+        honour_share=crowd.honour, disconnect_share=crowd.leave,
+        single_use_share=crowd.one_off,
+        bursts=tuple((burst.at, burst.for_s, burst.times) for burst in day.bursts),
         skew_ms=crowd.skew_ms,
     )  # fmt: skip
 
--- a/swiftwell/standins/publishers.py
+++ b/swiftwell/standins/publishers.py
@@ -22,22 +22,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
+class CallProfile:
     """How publishers make the calls of one request class.
 
-    `share`: the weight of the class among all calls.  `patience_s`: how long a publisher waits for an answer.
-    `functions`: number of functions that calls are drawn from.  `wanted_s`: the latency that is wanted.
-    `worth`: the value of an answer in time.
+    `share`: the weight of the class among all calls.  `timeout_s`: how long a publisher waits for an answer.
+    `functions`: number of functions that calls are drawn from.  `target_latency_s`: the latency that is
+    wanted.  `answer_value`: the value of an answer in time.
     """
 
     request_class: str
     share: float
-    patience_s: float
+    timeout_s: float
     functions: int
     qos: int = 1
     tenant: str = "estate"
-    wanted_s: float = 1.0
-    worth: float = 1.0
+    target_latency_s: float = 1.0
+    answer_value: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,13 +49,13 @@
 
     rate: float
     for_s: float
-    habits: tuple[Habit, ...]
+    profiles: tuple[CallProfile, ...]
     clients: int = 4
     retries: int = 2
     retry_s: float = 0.3
-    honour: float = 0.0  # fraction of refusals after which publishers wait as long as they were asked to
-    leave: float = 0.0  # fraction of attempts whose publisher disconnects before the answer
-    one_off: float = 0.0  # fraction of calls for a function that is called only once
+    honour_share: float = 0.0  # fraction of refusals after which the requested wait is kept
+    disconnect_share: float = 0.0  # fraction of attempts whose publisher disconnects before the answer
+    single_use_share: float = 0.0  # fraction of calls for a function that is called only once
     bursts: tuple[tuple[float, float, float], ...] = ()
     skew_ms: float = 0.0  # how far the publishers' clocks are ahead of the clock of this process
 
@@ -63,7 +63,7 @@
 @dataclass(slots=True, eq=False)
 class Call:
     key: str
-    habit: Habit
+    profile: CallProfile
     function: str
     tries: int = 0
     over: bool = False
@@ -172,33 +172,33 @@
 
     def _draw_call(self) -> Call:
         plan = self.plan
-        habit = self._random.choices(plan.habits, [habit.share for habit in plan.habits])[0]
+        profile = self._random.choices(plan.profiles, [profile.share for profile in plan.profiles])[0]
         self._number += 1
-        if self._random.random() < plan.one_off:
+        if self._random.random() < plan.single_use_share:
             function = f"once/{self._name}-{self._number}"
         else:  # most calls go to a few functions
-            rank = int(habit.functions ** self._random.random()) - 1
-            function = f"heat/{habit.request_class}-{rank}"
-        return Call(f"{self._name}-{self._number}", habit, function)
+            rank = int(profile.functions ** self._random.random()) - 1
+            function = f"heat/{profile.request_class}-{rank}"
+        return Call(f"{self._name}-{self._number}", profile, function)
 
     async def _run_call(self, call: Call) -> None:
         """Makes all attempts of one call."""
         number = self._random.randrange(len(self._clients))
         call.started_at = time.monotonic()
         for attempt in range(self.plan.retries + 1):
-            timeout_s = call.habit.patience_s * (1.0 if attempt == 0 else self._random.uniform(0.5, 1.0))
+            timeout_s = call.profile.timeout_s * (1.0 if attempt == 0 else self._random.uniform(0.5, 1.0))
             kind = await self._attempt(call, number, attempt, timeout_s)
             if kind in ("served", "left"):
                 return
             call.unanswered |= kind != "refused"
-            if kind == "failed" and call.habit.request_class.startswith("consigna"):
+            if kind == "failed" and call.profile.request_class.startswith("consigna"):
                 return  # it may have run; a retry with the same key would get the same answer
             await asyncio.sleep(self._retry_delay_s(call, kind))
 
     def _retry_delay_s(self, call: Call, kind: str) -> float:
         """Delay until the next attempt: what the refusal asked for, or the plan's own with jitter."""
-        honours_wait = kind == "refused" and call.retry_after_s and self.plan.honour
-        honours_wait = honours_wait and self._random.random() < self.plan.honour
+        honours_wait = kind == "refused" and call.retry_after_s and self.plan.honour_share
+        honours_wait = honours_wait and self._random.random() < self.plan.honour_share
         return call.retry_after_s if honours_wait else self.plan.retry_s * self._random.uniform(0.5, 1.5)
 
     async def _attempt(self, call: Call, number: int, attempt: int, timeout_s: float) -> str:
@@ -211,7 +211,7 @@
         future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self._pending[correlation] = (call, future, number)
         now = time.monotonic_ns() // 1_000
-        leaves = self._random.random() < self.plan.leave
+        leaves = self._random.random() < self.plan.disconnect_share
         if leaves:
             return await self._publish_and_disconnect(call, correlation, number, attempt, timeout_s)
         self._trace_attempt(call, correlation, f"{self._name}-{number}", attempt, now, timeout_s)
@@ -225,19 +225,19 @@
     def _trace_attempt(
         self, call: Call, correlation: str, client: str, number: int, now: int, timeout_s: float
     ) -> None:
-        habit = call.habit
+        profile = call.profile
         self.trace.note(
             "try",
             client=client,
             corr=correlation,
             key=call.key,
-            band=habit.request_class,
-            tenant=habit.tenant,
+            band=profile.request_class,
+            tenant=profile.tenant,
             function=call.function,
             number=number,
             until=now + int(timeout_s * 1e6),
-            worth=habit.worth,
-            wanted=int(habit.wanted_s * 1e6),
+            worth=profile.answer_value,
+            wanted=int(profile.target_latency_s * 1e6),
         )
 
     async def _publish_and_disconnect(
@@ -263,7 +263,7 @@
     def _build_publish(
         self, call: Call, correlation: str, number: int, attempt: int, timeout_s: float
     ) -> Publish:
-        topic = f"{self._topic}/{call.habit.tenant}/{call.habit.request_class}/{call.function}"
+        topic = f"{self._topic}/{call.profile.tenant}/{call.profile.request_class}/{call.function}"
         sent_ms = time.time() * 1e3 + self.plan.skew_ms
         timeout_ms = timeout_s * 1e3
         if self._version == V311:
@@ -271,7 +271,7 @@
                 "body": {"call": call.key}, "key": call.key, "reply": f"answers/{self._name}-{number}",
                 "correlation": correlation, "timeout_ms": timeout_ms, "sent_ms": sent_ms, "attempt": attempt,
             }  # fmt: skip
-            return Publish(topic, msgspec.json.encode(envelope), call.habit.qos)
+            return Publish(topic, msgspec.json.encode(envelope), call.profile.qos)
         user_properties = [
             ("key", call.key),
             ("timeout-ms", f"{timeout_ms:.0f}"),
@@ -285,7 +285,7 @@
             "message_expiry": int(timeout_s) + 1,
             "user": user_properties,
         }
-        return Publish(topic, f"{call.key} payload".encode(), call.habit.qos, properties=properties)
+        return Publish(topic, f"{call.key} payload".encode(), call.profile.qos, properties=properties)
 
     def _on_message(self, message: Publish) -> None:
         if self._version == V311:
--- a/swiftwell/standins/store.py
+++ b/swiftwell/standins/store.py
@@ -18,11 +18,12 @@
 class Store:
     """A store at which up to `room` concurrent fetches take `fetch_s` each.
 
-    With more, each takes longer in proportion.  A fetch is rejected while `most` others are in progress.
+    With more, each takes longer in proportion.  A fetch is rejected while `max_fetches` others are in
+    progress.
     """
 
-    def __init__(self, trace: Trace, fetch_s: float = 0.3, room: int = 8, most: int = 64) -> None:
-        self.trace, self._fetch_s, self._room, self._max_fetches = trace, fetch_s, room, most
+    def __init__(self, trace: Trace, fetch_s: float = 0.3, room: int = 8, max_fetches: int = 64) -> None:
+        self.trace, self._fetch_s, self._room, self._max_fetches = trace, fetch_s, room, max_fetches
         self._active_fetches = 0
         self._stopped_until = 0.0
         self._overloaded_since = 0.0
