--- a/swiftwell/standins/model.py
+++ b/swiftwell/standins/model.py
@@ -302,9 +302,9 @@
             for work in self._running:
                 work.remaining_us -= rate * (at - self._at)
             self._at = at
-            for work in [w for w in self._running if w.left <= 1e-6]:
+            for work in [work for work in self._running if work.remaining_us <= 1e-6]:
                 effects.append(self._finish(at, work))
-            for start in [s for s in self._starting_copies if s[0] <= at]:
+            for start in [start for start in self._starting_copies if start[0] <= at]:
                 self._starting_copies.remove(start)
                 self._on_copy_started(at, start[1], start[2], effects)
             if at >= now and ends > now and starts > now:
