--- a/swiftwell/lab/clients.py
+++ b/swiftwell/lab/clients.py
@@ -11,7 +11,7 @@
 from swiftwell.lab import constants
 from swiftwell.lab.fronts import AmqpBroker, Endpoint, Message, MqttBroker
 from swiftwell.lab.world import World
-from swiftwell.standins.publishers import Habit, Plan
+from swiftwell.standins.publishers import CallProfile, Plan
 
 
 @dataclass(slots=True, eq=False)
@@ -19,7 +19,7 @@
     """A publisher's call, with its state over all tries."""
 
     key: str
-    habit: Habit
+    habit: CallProfile
     function: str
     client: int
     tries: int = 0
@@ -128,15 +128,15 @@
         self.open_calls += 1  # before `_next`, which ends the crowd when no call is open
         self._schedule_arrival(at_s)
         plan, call_random = self._plan, self._call_random
-        pick = call_random.uniform(0, sum(habit.share for habit in plan.habits))
-        habit = plan.habits[-1]
-        for candidate in plan.habits:
+        pick = call_random.uniform(0, sum(habit.share for habit in plan.profiles))
+        habit = plan.profiles[-1]
+        for candidate in plan.profiles:
             pick -= candidate.share
             if pick < 0:
                 habit = candidate
                 break
         self._call_count += 1
-        if call_random.uniform() < plan.one_off:
+        if call_random.uniform() < plan.single_use_share:
             function = f"once/{self._name}-{self._call_count}"
         else:
             rank = int(habit.functions ** call_random.uniform()) - 1
@@ -147,8 +147,8 @@
     def _start_try(self, call: _Call) -> None:
         behaviour_random, habit, attempt = self._behaviour_random, call.habit, call.tries
         call.tries += 1
-        timeout_s = habit.patience_s * (1.0 if attempt == 0 else behaviour_random.uniform(0.5, 1.0))
-        leaves = behaviour_random.uniform() < self._plan.leave
+        timeout_s = habit.timeout_s * (1.0 if attempt == 0 else behaviour_random.uniform(0.5, 1.0))
+        leaves = behaviour_random.uniform() < self._plan.disconnect_share
         client = self._clients[call.client]
         if not client.up:
             self.world.record("unsent", "publishers", key=call.key)
@@ -160,7 +160,8 @@
         message = Message(
             name, corr, call.key, habit.request_class, habit.tenant, call.function, now, int(timeout_s * 1e6),
             lambda answered, kind, reason, dup: self._answer(call, answered, kind, reason, dup),
-            attempt=attempt, unanswered=call.unanswered, qos=habit.qos, priority=min(9, round(habit.worth)),
+            attempt=attempt, unanswered=call.unanswered, qos=habit.qos,
+            priority=min(9, round(habit.answer_value)),
         )  # fmt: skip
         if leaves:
             gateway = client.gateway if isinstance(self._front, Endpoint) else -1
@@ -169,7 +170,8 @@
         self.world.record(
             "try", "publishers", client=name, corr=corr, key=call.key,
             band=habit.request_class, tenant=habit.tenant, function=call.function, number=attempt,
-            until=now + message.timeout_us, worth=habit.worth, wanted=int(habit.wanted_s * 1e6),
+            until=now + message.timeout_us, worth=habit.answer_value,
+            wanted=int(habit.target_latency_s * 1e6),
         )  # fmt: skip
         if leaves:
             self.world.record("left", "publishers", corr=corr)
@@ -211,7 +213,7 @@
             if self.arrivals_ended and not self.open_calls:
                 self.on_finished()
             return
-        honour = self._plan.honour
+        honour = self._plan.honour_share
         if retry_after_us and honour and self._behaviour_random.uniform() < honour:
             wait_us: float = retry_after_us
         else:
--- a/swiftwell/lab/servers.py
+++ b/swiftwell/lab/servers.py
@@ -8,7 +8,17 @@
 from dataclasses import dataclass
 
 from swiftwell.lab.world import World
-from swiftwell.standins.model import CalcServer, Done, Effect, Failed, Fell, Fetch, Machine, Stand, Work
+from swiftwell.standins.model import (
+    CalcServer,
+    Crashed,
+    Done,
+    Effect,
+    Failed,
+    Fetch,
+    LoadOrderEnded,
+    Machine,
+    Work,
+)
 
 FOREVER_S = 3_600.0
 WARM_UPTIME_US = 172_800_000_000  # uptime of a server that is warm from the start
@@ -261,7 +271,7 @@
         return "full" if self.world.now < fault_ends_at else ""
 
     def _answer(self, verdict: str, work: Work | None = None) -> Answer:
-        function_calls_waiting = work.crowd if work else 0
+        function_calls_waiting = work.function_calls_waiting if work else 0
         return Answer(
             verdict, worker_calls_held=self.model.held, function_calls_waiting=function_calls_waiting,
             draining=verdict == "draining", started_us=self.started_us,
@@ -290,7 +300,7 @@
             self._record("turned", gw=gw, call="order", verdict="draining")
             on_answer(self._answer("draining"))
             return
-        state, effects = self.model.hold(self.world.now, function, copies, memory, lanes)
+        state, effects = self.model.order_load(self.world.now, function, copies, memory, lanes)
         if state == "coming":
             self._orders.setdefault(function, []).append(on_answer)
         if self._apply_effects(effects):
@@ -321,13 +331,13 @@
                 case Failed():
                     if on_answer := self._calls.pop(effect.work, None):
                         on_answer(self._answer("error", effect.work))
-                case Stand():
+                case LoadOrderEnded():
                     for on_answer in self._orders.pop(effect.function, ()):
                         if effect.ok:
                             self._confirm_order(effect.function, on_answer)
                         else:
                             on_answer(self._answer("error"))
-                case Fell():
+                case Crashed():
                     self._record("fell")
                     self.die()
                     return True
@@ -336,11 +346,11 @@
 
     def _fetched(self, function: str, incarnation: int, ok: bool) -> None:
         if incarnation == self._incarnation and not self.down:
-            self._apply_effects(self.model.fetched(self.world.now, function, ok))
+            self._apply_effects(self.model.on_fetched(self.world.now, function, ok))
 
     def _done(self, work: Work) -> None:
         if not work.repeated:
-            self._record("ran", call=work.id, key=work.key, band=work.request_class, found=work.found)
+            self._record("ran", call=work.id, key=work.key, band=work.request_class, found=work.copy_state)
         on_answer = self._calls.pop(work, None)
         if self._has_fault("die_after"):  # after the effect, before the answer
             del self._fault_ends["die_after"]
@@ -354,7 +364,7 @@
             self._record("muted", call=work.id)  # no answer is sent; the connection stays open
             return
         answer = self._answer("", work)
-        answer.copy_state, answer.body = work.found, f"{work.function} {work.id}".encode()
+        answer.copy_state, answer.body = work.copy_state, f"{work.function} {work.id}".encode()
         answer.lost, answer.answered_twice = self._has_fault("reset"), self._has_fault("twice")
         if self._has_fault("large"):
             answer.body = bytes(4_000_000)
@@ -364,7 +374,7 @@
         self._timer_version += 1
         if self.down:
             return
-        due_at = self.model.next(self.world.now)
+        due_at = self.model.next_due(self.world.now)
         if due_at is not None:
             self.world.at(due_at, self._on_timer, self._timer_version, self._incarnation)
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -32,6 +32,7 @@
 from swiftwell.gateway.logs import Logs
 from swiftwell.gateway.shell import Gateway
 from swiftwell.handover import snapshot, snapshot_file, state
+from swiftwell.lab.world import World
 from swiftwell.proof import account, days, rules, trace, verdict
 from swiftwell.scale import results
 from swiftwell.settings import platform, schema, site
@@ -397,7 +398,7 @@
 
 def trace_events():
     """Each event with its keys that the sources write to traces, with the number of places that write it."""
-    names, written = {trace.Trace.note.__name__, "note"}, Counter()
+    names, written = {trace.Trace.note.__name__, World.record.__name__}, Counter()
     for path in sorted(
         file for folder in ("standins", "lab", "proof") for file in (SOURCES / folder).glob("*.py")
     ):
