--- a/swiftwell/http/http1.py
+++ b/swiftwell/http/http1.py
@@ -112,7 +112,7 @@
                     if len(self._buffer) < 2:
                         return
                     if self._buffer[:2] != b"\r\n":
-                        raise BadMessage("chunk data does not match the chunk size")
+                        raise BadMessage("a chunk does not end where its size says")
                     del self._buffer[:2]
                     self._state = _State.CHUNK_SIZE
                 case _State.CHUNK_SIZE:
@@ -120,7 +120,7 @@
                         return
                     matched = _CHUNK.fullmatch(line)
                     if not matched:
-                        raise BadMessage("malformed chunk size")
+                        raise BadMessage("a chunk's size is malformed")
                     self._left = int(matched[1], 16)
                     self._check_size(self._left)
                     self._state = _State.CHUNK if self._left else _State.TRAILER
@@ -144,16 +144,16 @@
     def _check_size(self, count: int) -> None:
         self._size += count
         if self._size > self._max_body:
-            raise TooLarge(f"body larger than {self._max_body} bytes")
+            raise TooLarge(f"a body of over {self._max_body} bytes")
 
     def _line(self, limit: int) -> bytes | None:
         end = self._buffer.find(b"\n", 0, limit + 1)
         if end < 0:
             if len(self._buffer) > limit:
-                raise BadMessage(f"line longer than {limit} bytes")
+                raise BadMessage("a line is too long")
             return None
         if end == 0 or self._buffer[end - 1] != 13:
-            raise BadMessage("line ends without a carriage return")
+            raise BadMessage("a line ends without a carriage return")
         line = bytes(self._buffer[: end - 1])
         del self._buffer[: end + 1]
         return line
@@ -176,12 +176,12 @@
         if end < 0:
             self._scanned = len(buffer)
             if len(buffer) > MAX_HEAD_BYTES:
-                raise BadMessage(f"head larger than {MAX_HEAD_BYTES} bytes")
+                raise BadMessage(f"a head of over {MAX_HEAD_BYTES} bytes")
             if b"\n" in buffer and b"\n" in bytes(buffer).replace(b"\r\n", b""):
-                raise BadMessage("line ends without a carriage return")
+                raise BadMessage("a line ends without a carriage return")
             return False
         if end > MAX_HEAD_BYTES:
-            raise BadMessage(f"head larger than {MAX_HEAD_BYTES} bytes")
+            raise BadMessage(f"a head of over {MAX_HEAD_BYTES} bytes")
         lines = bytes(buffer[:end]).split(b"\r\n")
         del buffer[: end + 4]
         self._scanned = 0
@@ -191,13 +191,13 @@
 
     def _parse_headers(self, lines: list[bytes]) -> tuple[Headers, int]:
         if len(lines) > MAX_HEADERS:
-            raise BadMessage(f"more than {MAX_HEADERS} headers")
+            raise BadMessage(f"over {MAX_HEADERS} headers")
         headers: Headers = {}
         lengths = 0
         for line in lines:
             name, colon, value = line.partition(b":")
             if not colon or not _TOKEN.fullmatch(name) or not _VALUE.fullmatch(value):
-                raise BadMessage("malformed header")
+                raise BadMessage("a header is malformed")
             key, text = name.decode().lower(), value.strip(b" \t").decode("latin-1")
             lengths += key == "content-length"
             headers[key] = f"{headers[key]}, {text}" if key in headers else text
@@ -220,7 +220,7 @@
         else:
             matched = _REQUEST.fullmatch(first)
             if not matched:
-                raise BadMessage("malformed request line")
+                raise BadMessage("the request line is malformed")
             minor = matched[3]
             message = Request(matched[1].decode(), matched[2].decode(), headers)
             empty = False
@@ -230,11 +230,11 @@
         self._left, self._state = 0, _State.LENGTH
         if coding is not None:
             if lengths or minor == b"0" or coding.lower() != "chunked":
-                raise BadMessage("conflicting body lengths or unsupported transfer coding")
+                raise BadMessage("the body's length is stated in two ways, or by a coding that is not served")
             self._state = _State.CHUNK_SIZE
         elif lengths:
             if lengths > 1 or not _DIGITS.fullmatch(length.encode("latin-1")):  # type: ignore[union-attr]
-                raise BadMessage("malformed or repeated content length")
+                raise BadMessage("the content length is malformed or stated twice")
             self._left = int(length)  # type: ignore[arg-type]
             self._check_size(self._left)
         elif self._responses and not empty:
--- a/swiftwell/sites/health_observations.py
+++ b/swiftwell/sites/health_observations.py
@@ -164,9 +164,9 @@
         Returns why it can't be carried out, empty where it can.
         """
         if site not in self.controller.detector.sites:
-            return f"unknown site {site!r}; sites: {', '.join(self.controller.detector.sites)}"
+            return f"no site {site!r}: {', '.join(self.controller.detector.sites)}"
         if command not in COMMANDS:
-            return f"unknown command {command!r}; commands: {', '.join(COMMANDS)}"
+            return f"no order {command!r}: {', '.join(COMMANDS)}"
         now, node = self._link.now_us(), self._link.node
         self._log("warning", "site-order", site=site, order=command, who=operator)
         if change := self.controller.execute(now, site, command, operator):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -264,7 +264,9 @@
 
 def test_a_cold_server_is_pushed_over_by_too_much():
     world = World(1)
-    server = make_server(world, cold_share=0.1, cold_us=10_000_000, fall_multiple=1.0, fall_us=1_000_000)
+    server = make_server(
+        world, cold_share=0.1, cold_us=10_000_000, crash_multiple=1.0, crash_window_us=1_000_000
+    )
     server.die(0.1)
     world.run(world.now + 200_000)
     answers_by_call = [send_call(world, server, number) for number in range(40)]
